--- a/internal/control/acquire.go
+++ b/internal/control/acquire.go
@@ -24,7 +24,7 @@
 // hand once the other nodes have answered, within wait. With a wait of 0 it is called at once, and units are requested
 // for later calls. While the decisions handle an event, done must not call them again.
 func (m *Manager) Acquire(kind Kind, subject uint64, wait time.Duration, done func(ok bool)) {
-	if !m.Limits(kind) {
+	if !m.HasLimit(kind) {
 		done(true)
 		return
 	}
@@ -50,8 +50,8 @@
 	return ok
 }
 
-// Limits reports whether a kind has a limit.
-func (m *Manager) Limits(kind Kind) bool { return m != nil && m.limited[kind] }
+// HasLimit reports whether a kind has a limit.
+func (m *Manager) HasLimit(kind Kind) bool { return m != nil && m.limited[kind] }
 
 func quotaID(kind Kind, subject uint64) budget.ID {
 	return budget.ID{Kind: uint8(kind), Subject: subject}
@@ -62,8 +62,8 @@
 	return m.quotas.Available(m.loop.Uptime(), quotaID(kind, subject))
 }
 
-// Waiting returns the quota of each waiter, in no order.
-func (m *Manager) Waiting() (quotas []budget.ID) {
+// WaitingQuotas returns the quota of each waiter, in no order.
+func (m *Manager) WaitingQuotas() (quotas []budget.ID) {
 	for id, waiters := range m.waiters {
 		for range waiters {
 			quotas = append(quotas, id)
@@ -84,7 +84,7 @@
 // kind has no limit.
 func (m *Manager) SendDeadline(kind Kind) time.Time {
 	switch {
-	case !m.Limits(kind):
+	case !m.HasLimit(kind):
 		return time.Time{}
 	case kind == ListCalls:
 		return time.Now().Add(m.cfg.listCallWithin())
--- a/internal/control/acquire_test.go
+++ b/internal/control/acquire_test.go
@@ -20,9 +20,9 @@
 	p := &pair{sent: make(chan func(), 1000), answers: map[bool]int{}}
 	for i := range p.nodes {
 		c := flatConfig(Limit{Opens, units})
-		c.Guaranteed, c.Settings.NodeIndex = 0.0001, i
+		c.GuaranteedFraction, c.Settings.NodeIndex = 0.0001, i
 		p.nodes[i] = newManager(c, func() time.Duration { return p.now })
-		p.nodes[i].Connect(fakeSender{toPeer: func(to int, message budget.Message) {
+		p.nodes[i].SetSender(fakeSender{toPeer: func(to int, message budget.Message) {
 			p.sent <- func() { p.nodes[to].HandlePeerMessage(i, message) }
 		}})
 	}
--- a/internal/control/connections.go
+++ b/internal/control/connections.go
@@ -10,7 +10,7 @@
 // HoldConnection counts a request as one of its customer's open connections until ReleaseConnection. Acquired means
 // that a unit of OpenConnections was acquired for it; else it was open before, and counts even over the limit.
 func (m *Manager) HoldConnection(request balance.RequestID, customer uint64, acquired bool) {
-	if !m.Limits(OpenConnections) {
+	if !m.HasLimit(OpenConnections) {
 		return
 	}
 	id := quotaID(OpenConnections, customer)
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -47,28 +47,28 @@
 	Incarnation uint64         // differs between the processes of a node
 	Epoch       time.Duration  // what Loop.Now showed when Loop.Uptime was 0
 
-	Limits               []Limit
-	Guaranteed           float64       // fraction of each limit, 0 to 1, that is divided evenly among the nodes
-	ControlGuaranteed    float64       // fraction of the rest that is divided evenly among the control machines
-	LeaseTerm            time.Duration // leased units are used within it
-	ChildLeaseTerm       time.Duration // those leased from control machines
-	ConnectionLeaseTerm  time.Duration // a lease of an open connection is renewed within it
-	HeartbeatInterval    time.Duration // between a node's messages
-	MaxClockDrift        float64       // by which any two monotonic clocks differ in speed, as a fraction
-	ConnectTimeout       time.Duration // of connections to servers
-	ListConnectTimeout   time.Duration // of connections to the discovery service
-	ConnectionCloseDelay time.Duration // what a client takes to close a connection
+	Limits                    []Limit
+	GuaranteedFraction        float64       // fraction of each limit, 0 to 1, that is divided evenly among the nodes
+	ControlGuaranteedFraction float64       // fraction of the rest that is divided evenly among the control machines
+	LeaseTerm                 time.Duration // leased units are used within it
+	ChildLeaseTerm            time.Duration // those leased from control machines
+	ConnectionLeaseTerm       time.Duration // a lease of an open connection is renewed within it
+	HeartbeatInterval         time.Duration // between a node's messages
+	MaxClockDrift             float64       // by which any two monotonic clocks differ in speed, as a fraction
+	ConnectTimeout            time.Duration // of connections to servers
+	ListConnectTimeout        time.Duration // of connections to the discovery service
+	ConnectionCloseDelay      time.Duration // what a client takes to close a connection
 
 	Listen       string   // this node's address for messages
 	Peers        []string // the group's addresses, by number: all nodes, or at a control machine all control machines
 	Parents      []string // the control machines of an ordinary node, by preference
 	ChildListen  string   // a control machine's address for messages of its children; "" at an ordinary node
 	ControlIndex int      // a control machine's number
-	Children     int      // how many numbers a control machine's children have
-	Inherited    bool     // another process of this node may still have the addresses
+	MaxChildren  int      // how many numbers a control machine's children have
+	RetryListen  bool     // another process of this node may still have the addresses
 
-	// Link delays or loses messages in the laboratory, as transport.Config.Link.
-	Link func(to netip.AddrPort) (delay time.Duration, ok bool)
+	// SimulateLink delays or loses messages in the laboratory, as transport.Config.SimulateLink.
+	SimulateLink func(to netip.AddrPort) (delay time.Duration, ok bool)
 }
 
 func (c *Config) isControlMachine() bool { return c.ChildListen != "" }
--- a/internal/control/exchange.go
+++ b/internal/control/exchange.go
@@ -13,7 +13,7 @@
 // Tick updates limits, which grow as servers warm up, and sends messages that are due. To call it early does no harm.
 func (m *Manager) Tick() {
 	if m != nil {
-		m.UpdateLimits()
+		m.UpdateSlowStartLimits()
 		m.exchange()
 	}
 }
@@ -51,8 +51,8 @@
 	}
 }
 
-// FollowControlMachines replaces the control machines of a node. Their addresses, by preference, have been checked.
-func (m *Manager) FollowControlMachines(addrs []string) {
+// ReplaceControlMachines replaces the control machines of a node. Their addresses, by preference, have been checked.
+func (m *Manager) ReplaceControlMachines(addrs []string) {
 	if err := m.peers.SetPeers(addrs); err != nil {
 		m.log.Error("invalid addresses of control machines", zap.Error(err))
 		return
--- a/internal/control/fake_test.go
+++ b/internal/control/fake_test.go
@@ -55,25 +55,25 @@
 		Settings: balance.Config{NodeCount: 2, ConnectionCapacity: 1000, SlowStartMinCapacity: 0.5,
 			SlowStartWindow: time.Minute, OverloadFactor: 3,
 			OverloadWindow: 2 * time.Second, MaxRetryAfter: time.Second},
-		Limits: limits, Guaranteed: 0.5, ControlGuaranteed: 0.5,
+		Limits: limits, GuaranteedFraction: 0.5, ControlGuaranteedFraction: 0.5,
 		LeaseTerm: time.Second, ChildLeaseTerm: 250 * time.Millisecond, ConnectionLeaseTerm: 30 * time.Second,
 		HeartbeatInterval: 400 * time.Millisecond, MaxClockDrift: 0.001,
 		ConnectTimeout: 200 * time.Millisecond, ListConnectTimeout: time.Second,
 		ConnectionCloseDelay: 500 * time.Millisecond,
-		Listen:               "127.0.0.1:0", Peers: []string{"127.0.0.1:2", "127.0.0.1:3"}, Children: 2,
+		Listen:               "127.0.0.1:0", Peers: []string{"127.0.0.1:2", "127.0.0.1:3"}, MaxChildren: 2,
 	}
 }
 
 // childConfig is that of the first of two nodes below a control machine, parentConfig that of the control machine.
 func childConfig(limits ...Limit) Config {
 	c := flatConfig(limits...)
-	c.Peers, c.Parents, c.Guaranteed = nil, []string{"127.0.0.1:2"}, 0
+	c.Peers, c.Parents, c.GuaranteedFraction = nil, []string{"127.0.0.1:2"}, 0
 	return c
 }
 
 func parentConfig(limits ...Limit) Config {
 	c := flatConfig(limits...)
-	c.Peers, c.ChildListen, c.Guaranteed = []string{"127.0.0.1:2"}, "127.0.0.1:0", 0
+	c.Peers, c.ChildListen, c.GuaranteedFraction = []string{"127.0.0.1:2"}, "127.0.0.1:0", 0
 	return c
 }
 
--- a/internal/control/kind.go
+++ b/internal/control/kind.go
@@ -58,16 +58,16 @@
 	Units int
 }
 
-// The errors of RateLimit.
+// The errors of RateLimitKind.
 var (
 	ErrUnknownRate     = errors.New("no rate limit has this name")
 	ErrNoLimit         = errors.New("no bound is configured")
 	ErrLeasingDisabled = errors.New("the nodes lease no quotas from one another")
 )
 
-// RateLimit returns the kind of a rate limit by its configuration key, such as "retries_per_s". It fails with
+// RateLimitKind returns the kind of a rate limit by its configuration key, such as "retries_per_s". It fails with
 // ErrUnknownRate, ErrNoLimit or ErrLeasingDisabled, wrapped with the key. It is safe for concurrent use.
-func (m *Manager) RateLimit(key string) (Kind, error) {
+func (m *Manager) RateLimitKind(key string) (Kind, error) {
 	if m == nil {
 		return 0, fmt.Errorf("budgets.%s: %w", key, ErrLeasingDisabled)
 	}
--- a/internal/control/settings.go
+++ b/internal/control/settings.go
@@ -8,7 +8,7 @@
 		Nodes:              max(c.Settings.NodeCount, 1),
 		Index:              c.Settings.NodeIndex,
 		Parents:            len(c.Parents),
-		GuaranteedFraction: c.Guaranteed,
+		GuaranteedFraction: c.GuaranteedFraction,
 		MaxWindow:          max(c.Settings.OverloadWindow, rateWindow) + c.sendWithin(),
 		LeaseTerm:          c.LeaseTerm,
 		HeartbeatInterval:  c.HeartbeatInterval,
@@ -30,7 +30,7 @@
 	settings := c.nodeSettings()
 	if c.isControlMachine() {
 		settings.Nodes, settings.Index = len(c.Peers), c.ControlIndex
-		settings.GuaranteedFraction, settings.LeaseTerm = c.ControlGuaranteed, c.LeaseTerm
+		settings.GuaranteedFraction, settings.LeaseTerm = c.ControlGuaranteedFraction, c.LeaseTerm
 	}
 	return settings
 }
--- a/internal/control/slowstart.go
+++ b/internal/control/slowstart.go
@@ -54,9 +54,9 @@
 	return ok
 }
 
-// UpdateLimits sets the limits of servers in slow start by the endpoint list and the time: in a window all nodes
-// together may send each what it surely bears, and one attempt more. docs/design.md derives the bound.
-func (m *Manager) UpdateLimits() {
+// UpdateSlowStartLimits sets the limits of servers in slow start by the endpoint list and the time: in a window all
+// nodes together may send each what it surely bears, and one attempt more. docs/design.md derives the bound.
+func (m *Manager) UpdateSlowStartLimits() {
 	if m == nil {
 		return
 	}
--- a/internal/control/sockets.go
+++ b/internal/control/sockets.go
@@ -13,7 +13,7 @@
 // Listen opens the sockets for messages. It fails where an address cannot be taken.
 func (m *Manager) Listen() (err error) {
 	cfg := transport.Config{Listen: m.cfg.Listen, Peers: m.cfg.Peers, Index: m.cfg.Settings.NodeIndex,
-		Inherited: m.cfg.Inherited, Link: m.cfg.Link}
+		RetryListen: m.cfg.RetryListen, SimulateLink: m.cfg.SimulateLink}
 	if len(m.cfg.Parents) > 0 {
 		cfg.Role, cfg.Peers = transport.Child, m.cfg.Parents
 	} else if m.parent != nil {
@@ -22,11 +22,11 @@
 	if m.peers, err = transport.New(cfg, m.log); err != nil {
 		return fmt.Errorf("config: peers.listen: %w", err)
 	}
-	m.Connect(sockets{m})
+	m.SetSender(sockets{m})
 	if m.parent == nil {
 		return nil
 	}
-	cfg.Role, cfg.Listen, cfg.Peers, cfg.Children = transport.Parent, m.cfg.ChildListen, nil, m.cfg.Children
+	cfg.Role, cfg.Listen, cfg.Peers, cfg.MaxChildren = transport.Parent, m.cfg.ChildListen, nil, m.cfg.MaxChildren
 	if m.children, err = transport.New(cfg, m.log); err != nil {
 		m.peers.Close()
 		return fmt.Errorf("config: peers.children: %w", err)
@@ -34,8 +34,8 @@
 	return nil
 }
 
-// Connect replaces the sender of messages, which Listen sets to the sockets.
-func (m *Manager) Connect(sender Sender) { m.sender = sender }
+// SetSender replaces the sender of messages, which Listen sets to the sockets.
+func (m *Manager) SetSender(sender Sender) { m.sender = sender }
 
 // Addr returns this node's address for messages; nil while another process of the node has it.
 func (m *Manager) Addr() net.Addr { return m.peers.Addr() }
--- a/internal/control/sockets_test.go
+++ b/internal/control/sockets_test.go
@@ -41,7 +41,7 @@
 		t.Helper()
 		m.sender.SendToChild(1, budget.LeaseResponse{Follower: incarnation, Incarnation: 5, Seq: incarnation})
 		u.SetReadDeadline(time.Now().Add(patience))
-		buf := make([]byte, transport.MaxDatagram)
+		buf := make([]byte, transport.MaxDatagramSize)
 		n, err := u.Read(buf)
 		var envelope []cbor.RawMessage
 		if err != nil || cbor.Unmarshal(buf[:n], &envelope) != nil {
--- a/internal/control/transport/conn.go
+++ b/internal/control/transport/conn.go
@@ -57,7 +57,7 @@
 	if err := c.SetPeers(cfg.Peers); err != nil {
 		return nil, err
 	}
-	if err := transient.Retry(c.listen); err != nil && !cfg.Inherited {
+	if err := transient.Retry(c.listen); err != nil && !cfg.RetryListen {
 		return nil, err
 	}
 	return c, nil
@@ -100,7 +100,7 @@
 	c.conn.Store(conn)
 	if c.cfg.Role == Parent {
 		c.log.Info("listening for children", zap.Stringer("address", conn.LocalAddr()),
-			zap.Int("max_children", c.cfg.Children))
+			zap.Int("max_children", c.cfg.MaxChildren))
 	} else {
 		c.log.Info("listening for peers", zap.Stringer("address", conn.LocalAddr()),
 			zap.Int("peers", len(c.peers.Load().addrs)))
@@ -155,9 +155,9 @@
 		return err
 	}
 	var err error
-	if c.cfg.Link == nil {
+	if c.cfg.SimulateLink == nil {
 		err = send()
-	} else if delay, ok := c.cfg.Link(d.to); ok && delay > 0 {
+	} else if delay, ok := c.cfg.SimulateLink(d.to); ok && delay > 0 {
 		time.AfterFunc(delay, func() { send() })
 	} else if ok {
 		err = send()
@@ -190,7 +190,7 @@
 		return
 	}
 	data, err := cbor.Marshal(envelope{Version: Version, Kind: c.cfg.Role.messageKind(), From: c.cfg.Index, Body: body})
-	if err != nil || len(data) > MaxDatagram {
+	if err != nil || len(data) > MaxDatagramSize {
 		c.Counters.Dropped.Add(1)
 		c.log.Error("message not sent: too long", zap.Int("bytes", len(data)))
 		return
--- a/internal/control/transport/conn_test.go
+++ b/internal/control/transport/conn_test.go
@@ -147,7 +147,7 @@
 // machines' addresses alone. All else is counted by what is wrong with it and dropped: also a message of the group, one
 // of a number that no child has, and one longer than any of ours, even where its first part reads well.
 func TestChildrenAndTheirControlMachines(t *testing.T) {
-	parent, above, requests := startServing(t, Config{Role: Parent, Index: 1, Children: 10})
+	parent, above, requests := startServing(t, Config{Role: Parent, Index: 1, MaxChildren: 10})
 	unused := "127.0.0.1:1"
 	child, below, answers := startServing(t, Config{Role: Child, Peers: []string{unused, above.String()}, Index: 9})
 	child.Send(1, budget.LeaseRequest{Incarnation: 5})
@@ -168,7 +168,7 @@
 		change(&e)
 		send(above, e, 0)
 	}
-	send(above, good, MaxDatagram)
+	send(above, good, MaxDatagramSize)
 	send(below, good, 0)
 	send(above, good, 0)
 	checkArrival(t, "after all the bad ones", requests, arrival{3, stranger.LocalAddr().(*net.UDPAddr).AddrPort()})
@@ -188,7 +188,7 @@
 // Guards against a log that a stranger can fill: of any number of bad datagrams it has a line a second at most.
 func TestStrangersDoNotFillTheLog(t *testing.T) {
 	core, logs := observer.New(zap.WarnLevel)
-	c, err := New(Config{Role: Parent, Listen: "127.0.0.1:0", Children: 1}, zap.New(core))
+	c, err := New(Config{Role: Parent, Listen: "127.0.0.1:0", MaxChildren: 1}, zap.New(core))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/transport/golden_test.go
+++ b/internal/control/transport/golden_test.go
@@ -37,7 +37,7 @@
 	group := Config{Peers: []string{sender, receiver}}
 	member := func(index int) Config { c := group; c.Index = index; return c }
 	child := Config{Role: Child, Peers: []string{"127.0.0.1:9", receiver}, Index: 4711}
-	above := Config{Role: Parent, Children: 4712, Index: 1}
+	above := Config{Role: Parent, MaxChildren: 4712, Index: 1}
 	answered := Config{Role: Child, Peers: []string{"127.0.0.1:9", sender}, Index: 4711}
 	return []goldenDatagram{
 		{"budget-request", member(0), member(1), request, 0},
--- a/internal/control/transport/receive.go
+++ b/internal/control/transport/receive.go
@@ -35,7 +35,7 @@
 	if !known && c.cfg.Role != Parent {
 		return nil, &rejection{"datagram from an unknown address", &c.Counters.UnknownSender}
 	}
-	if len(data) > MaxDatagram {
+	if len(data) > MaxDatagramSize {
 		return nil, &rejection{"datagram is too long", &c.Counters.TooLong}
 	}
 	var e envelope
@@ -73,7 +73,7 @@
 	case Member:
 		return from == addressNumber && from != c.cfg.Index
 	case Parent:
-		return from >= 0 && from < c.cfg.Children
+		return from >= 0 && from < c.cfg.MaxChildren
 	}
 	return true
 }
--- a/internal/control/transport/transport.go
+++ b/internal/control/transport/transport.go
@@ -16,8 +16,8 @@
 // Version is that of the datagrams' form. A datagram of another version is counted and dropped.
 const Version = 3
 
-// MaxDatagram bounds a datagram, in bytes: it fits a packet of any usual network, so that none is fragmented.
-const MaxDatagram = 1400
+// MaxDatagramSize bounds a datagram, in bytes: it fits a packet of any usual network, so that none is fragmented.
+const MaxDatagramSize = 1400
 
 // MessageKind says between which nodes a message goes.
 type MessageKind uint8
@@ -49,21 +49,21 @@
 
 // Config says where the nodes are.
 type Config struct {
-	Role     Role
-	Listen   string // this node's own address; port 0 takes a free one
-	Index    int    // this node's number; Parent: among the control machines
-	Children int    // Parent: the numbers of children are below it
+	Role        Role
+	Listen      string // this node's own address; port 0 takes a free one
+	Index       int    // this node's number; Parent: among the control machines
+	MaxChildren int    // Parent: the numbers of children are below it
 
 	// Peers is where each peer is reached and sends from. Member: all members by number; Child: the control machines
 	// by preference; Parent: none.
 	Peers []string
 
-	// Inherited says that another process of this node may still have the address: the connection then takes it once
+	// RetryListen says that another process of this node may still have the address: the connection then takes it once
 	// that has ended.
-	Inherited bool
+	RetryListen bool
 
-	// Link has a datagram sent after a delay, or lost where ok is false; nil does neither. It is for the laboratory.
-	Link func(to netip.AddrPort) (delay time.Duration, ok bool)
+	// SimulateLink delays a datagram, or drops it where ok is false; nil does neither. The laboratory sets it.
+	SimulateLink func(to netip.AddrPort) (delay time.Duration, ok bool)
 }
 
 // messageKind is the kind of all messages of a role.
@@ -82,7 +82,7 @@
 	UnknownSender           atomic.Int64 // from an address or under a number that no peer has
 	OtherVersion            atomic.Int64
 	Unreadable              atomic.Int64 // of another form or kind
-	TooLong                 atomic.Int64 // over MaxDatagram
+	TooLong                 atomic.Int64 // over MaxDatagramSize
 }
 
 // addressBook holds the peers' addresses, by number and back.
--- a/internal/control/tree_test.go
+++ b/internal/control/tree_test.go
@@ -40,7 +40,7 @@
 	}
 	for i := range nodes + control {
 		c := flatConfig()
-		c.Settings.NodeCount, c.Children = nodes, nodes
+		c.Settings.NodeCount, c.MaxChildren = nodes, nodes
 		if i < nodes {
 			c.Settings.NodeIndex, c.Peers, c.Parents = i, nil, addrs
 		} else {
@@ -75,9 +75,9 @@
 // connect has a manager send over the network of the test.
 func (f *tree) connect(m *Manager) {
 	if m.parent == nil {
-		m.Connect(f.senderOfNode(m, m.cfg.Settings.NodeIndex))
+		m.SetSender(f.senderOfNode(m, m.cfg.Settings.NodeIndex))
 	} else {
-		m.Connect(f.senderOfParent(m, m.cfg.ControlIndex))
+		m.SetSender(f.senderOfParent(m, m.cfg.ControlIndex))
 	}
 }
 
--- a/node/clock.go
+++ b/node/clock.go
@@ -74,5 +74,5 @@
 	}
 	l.clockLead, l.clockLeadSeen = max(l.clockLead, lead), l.clockLeadSeen || observed
 	l.handle(balance.ClockOffset{Ahead: l.clockLead, ReferenceSeen: l.clockLeadSeen})
-	l.control.UpdateLimits()
+	l.control.UpdateSlowStartLimits()
 }
--- a/node/control.go
+++ b/node/control.go
@@ -32,18 +32,18 @@
 	dial := settings.Microseconds(c.Settings.Limits.DialTimeoutMicros)
 	return control.Config{
 		Settings: *set, Incarnation: incarnation, Epoch: epoch,
-		Limits: c.Budgets.limits(), Guaranteed: c.Budgets.GuaranteedShare,
-		ControlGuaranteed:   c.Budgets.ControlGuaranteedShare,
-		LeaseTerm:           milliseconds(c.Budgets.LeaseTermMS),
-		ChildLeaseTerm:      milliseconds(c.Budgets.ChildLeaseTermMS),
-		ConnectionLeaseTerm: milliseconds(c.Budgets.OpenLeaseMS),
-		HeartbeatInterval:   milliseconds(c.Budgets.HeartbeatMS),
-		MaxClockDrift:       float64(c.Budgets.MaxClockDriftPPM) / 1e6,
-		ConnectTimeout:      dial, ListConnectTimeout: dial * listDialFactor,
+		Limits: c.Budgets.limits(), GuaranteedFraction: c.Budgets.GuaranteedShare,
+		ControlGuaranteedFraction: c.Budgets.ControlGuaranteedShare,
+		LeaseTerm:                 milliseconds(c.Budgets.LeaseTermMS),
+		ChildLeaseTerm:            milliseconds(c.Budgets.ChildLeaseTermMS),
+		ConnectionLeaseTerm:       milliseconds(c.Budgets.OpenLeaseMS),
+		HeartbeatInterval:         milliseconds(c.Budgets.HeartbeatMS),
+		MaxClockDrift:             float64(c.Budgets.MaxClockDriftPPM) / 1e6,
+		ConnectTimeout:            dial, ListConnectTimeout: dial * listDialFactor,
 		ConnectionCloseDelay: milliseconds(c.Timeouts.CloseMS),
 		Listen:               c.Peers.Listen, Peers: c.Peers.NodeAddrs, Parents: c.Peers.ControlAddrs,
-		ChildListen: c.Peers.ChildListen, ControlIndex: c.Peers.ControlIndex, Children: max(c.Settings.NodeCount, 1),
-		Inherited: c.ListenFD != 0, Link: c.Lab.PeerLink,
+		ChildListen: c.Peers.ChildListen, ControlIndex: c.Peers.ControlIndex, MaxChildren: max(c.Settings.NodeCount, 1),
+		RetryListen: c.ListenFD != 0, SimulateLink: c.Lab.PeerLink,
 	}
 }
 
@@ -109,7 +109,7 @@
 // loop's, and blocks while the loop's queue is full.
 func (n *Node) Acquire(limit string, of uint64, wait time.Duration, done func(ok bool)) error {
 	m := n.loop.control
-	kind, err := m.RateLimit(limit)
+	kind, err := m.RateLimitKind(limit)
 	if err != nil {
 		return err
 	}
--- a/node/control_test.go
+++ b/node/control_test.go
@@ -192,7 +192,7 @@
 	const window = 2250 * time.Millisecond // the longest of any quota
 	other := budget.New(budget.Settings{Nodes: 2, Index: 1 - index, GuaranteedFraction: 0.5, MaxWindow: window,
 		LeaseTerm: time.Second, HeartbeatInterval: 400 * time.Millisecond}, 1, 0)
-	p.loop.control.Connect(peerLink(func(_ int, message budget.Message) {
+	p.loop.control.SetSender(peerLink(func(_ int, message budget.Message) {
 		if request, ok := message.(budget.LeaseRequest); ok {
 			p.requests += len(request.Wanted)
 		}
--- a/node/control_tree_test.go
+++ b/node/control_tree_test.go
@@ -50,7 +50,8 @@
 
 func checkTreeControl(t *testing.T, process int, c control.Config) {
 	t.Helper()
-	if c.Guaranteed != 0.5 || c.ControlGuaranteed != 0.5 || c.MaxClockDrift != 0.001 || c.Children != 6 {
+	if c.GuaranteedFraction != 0.5 || c.ControlGuaranteedFraction != 0.5 || c.MaxClockDrift != 0.001 ||
+		c.MaxChildren != 6 {
 		t.Errorf("process %d: %+v", process, c)
 	}
 	if c.LeaseTerm != time.Second || c.ChildLeaseTerm != 250*time.Millisecond ||
--- a/node/endpoints.go
+++ b/node/endpoints.go
@@ -66,7 +66,7 @@
 	}
 	l.updateServers(list)
 	l.handle(list.EndpointUpdate(kind))
-	l.control.UpdateLimits()
+	l.control.UpdateSlowStartLimits()
 	l.cancelStaleAttempts()
 	for _, s := range list.Servers {
 		if s.State == serverDraining {
--- a/node/node.go
+++ b/node/node.go
@@ -184,5 +184,5 @@
 		return
 	}
 	n.cfg.Peers.ControlAddrs = slices.Clone(addrs)
-	n.loop.post(func() { n.loop.control.FollowControlMachines(addrs) })
+	n.loop.post(func() { n.loop.control.ReplaceControlMachines(addrs) })
 }
--- a/node/quotas_test.go
+++ b/node/quotas_test.go
@@ -32,7 +32,7 @@
 func (p *heldPeers) connect() {
 	for i, l := range p.loops {
 		l.uptime = func() time.Duration { return p.now }
-		l.control.Connect(peerLink(func(to int, w budget.Message) {
+		l.control.SetSender(peerLink(func(to int, w budget.Message) {
 			p.messages = append(p.messages, func() { p.loops[to].control.HandlePeerMessage(i, w) })
 		}))
 	}
@@ -84,7 +84,7 @@
 			p.now += quotaWait / 10
 			p.share()
 			p.share()
-			if len(r.loop.control.Waiting()) > 0 || counterOf(r.Node, refused) > 0 {
+			if len(r.loop.control.WaitingQuotas()) > 0 || counterOf(r.Node, refused) > 0 {
 				r.t.Error("some wait on, or go without")
 			}
 		})
@@ -104,7 +104,7 @@
 	n.waitFor("the request", func() bool { return n.waitingForQuotas() == 1 })
 	n.inLoop(func() {
 		quota := budget.ID{Kind: uint8(control.Connects), Subject: of(first)}
-		if !slices.Contains(n.loop.control.Waiting(), quota) {
+		if !slices.Contains(n.loop.control.WaitingQuotas(), quota) {
 			first, other = other, first
 		}
 	})
@@ -124,6 +124,6 @@
 
 // waitingForQuotas counts who does.
 func (r *testNode) waitingForQuotas() (n int) {
-	r.inLoop(func() { n = len(r.loop.control.Waiting()) })
+	r.inLoop(func() { n = len(r.loop.control.WaitingQuotas()) })
 	return n
 }
