--- a/internal/control/transport/conn.go
+++ b/internal/control/transport/conn.go
@@ -14,46 +14,46 @@
 	"brassmux/internal/transient"
 )
 
-// maxQueued bounds the datagrams that wait to be sent.
-const maxQueued = 512
+// maxQueuedDatagrams is the maximum number of datagrams that wait to be sent.
+const maxQueuedDatagrams = 512
 
-// listenRetryInterval is the time between attempts to take an address that another process still has.
+// listenRetryInterval is the time between attempts to bind an address that another process still uses.
 const listenRetryInterval = 200 * time.Millisecond
 
-// parentReadBuffer is the wanted size of a control machine's receive buffer, in bytes: all children may send at once
-// after another control machine's death. The system may allow less.
-const parentReadBuffer = 1 << 20
+// parentReceiveBufferSize is the requested size of a control machine's socket receive buffer, in bytes. All children
+// may send at once after the failure of another control machine. The system may grant less.
+const parentReceiveBufferSize = 1 << 20
 
-// maxRead is over the length of any datagram, in bytes.
-const maxRead = 1 << 16
+// readBufferSize is larger than any UDP datagram, in bytes.
+const readBufferSize = 1 << 16
 
-// Conn is a node's socket for messages. Its methods are safe for concurrent use.
+// Conn sends and receives a node's messages on one UDP socket. Its methods are safe for concurrent use.
 type Conn struct {
 	Counters Counters
 
-	cfg   Config
-	log   *zap.Logger
-	conn  atomic.Pointer[net.UDPConn] // nil while another process has the address
-	peers atomic.Pointer[addressBook]
-	queue chan datagram
+	cfg       Config
+	log       *zap.Logger
+	socket    atomic.Pointer[net.UDPConn] // nil until the address is bound
+	peers     atomic.Pointer[addressBook]
+	sendQueue chan outgoingDatagram
 
-	created    time.Time
-	lastLogged atomic.Int64 // the second since created, counted from 1, in which a rejected datagram was logged
+	created          time.Time
+	lastLoggedSecond atomic.Int64 // last second in which a rejection was logged; the first second after created is 1
 }
 
-// datagram waits to be sent.
-type datagram struct {
+// outgoingDatagram is a datagram in the send queue.
+type outgoingDatagram struct {
 	to   netip.AddrPort
 	data []byte
 }
 
-// Handler takes in a message: its sender's number and address, and its body, which the handler may keep.
+// Handler handles a received message, given the index and address of its sender. The handler may retain the body.
 type Handler func(from int, addr netip.AddrPort, body []byte)
 
-// New makes a connection and takes its address, if that is not inherited from another process. It sends and receives
-// once Serve runs.
+// New returns a Conn that listens at the configured address. If binding the address fails and Config.RetryListen is
+// set, Serve retries it. The Conn sends and receives while Serve runs.
 func New(cfg Config, log *zap.Logger) (*Conn, error) {
-	c := &Conn{cfg: cfg, log: log, created: time.Now(), queue: make(chan datagram, maxQueued)}
+	c := &Conn{cfg: cfg, log: log, created: time.Now(), sendQueue: make(chan outgoingDatagram, maxQueuedDatagrams)}
 	if err := c.SetPeers(cfg.Peers); err != nil {
 		return nil, err
 	}
@@ -63,7 +63,7 @@
 	return c, nil
 }
 
-// SetPeers replaces the peers' addresses. On an error the former ones stay.
+// SetPeers replaces the addresses of the peers. If one is invalid, it returns an error and changes none.
 func (c *Conn) SetPeers(peers []string) error {
 	book, err := newAddressBook(peers)
 	if err != nil {
@@ -73,18 +73,18 @@
 	return nil
 }
 
-// Addr is this node's own address; nil while another process still has it.
+// Addr returns the address of the socket, or nil if the address is not bound yet.
 func (c *Conn) Addr() net.Addr {
-	if conn := c.conn.Load(); conn != nil {
-		return conn.LocalAddr()
+	if socket := c.socket.Load(); socket != nil {
+		return socket.LocalAddr()
 	}
 	return nil
 }
 
-// Close closes the socket of a connection that was never served.
+// Close closes the socket of a Conn for which Serve was never called.
 func (c *Conn) Close() {
-	if conn := c.conn.Load(); conn != nil {
-		conn.Close()
+	if socket := c.socket.Load(); socket != nil {
+		socket.Close()
 	}
 }
 
@@ -93,71 +93,71 @@
 	if err != nil {
 		return err
 	}
-	conn, err := net.ListenUDP("udp", addr)
+	socket, err := net.ListenUDP("udp", addr)
 	if err != nil {
 		return err
 	}
-	c.conn.Store(conn)
+	c.socket.Store(socket)
 	if c.cfg.Role == Parent {
-		c.log.Info("listening for children", zap.Stringer("address", conn.LocalAddr()),
+		c.log.Info("listening for children", zap.Stringer("address", socket.LocalAddr()),
 			zap.Int("max_children", c.cfg.MaxChildren))
 	} else {
-		c.log.Info("listening for peers", zap.Stringer("address", conn.LocalAddr()),
+		c.log.Info("listening for peers", zap.Stringer("address", socket.LocalAddr()),
 			zap.Int("peers", len(c.peers.Load().addrs)))
 	}
 	return nil
 }
 
-// Serve sends and receives until ctx ends, and then closes the socket. It calls handle for each valid message, from one
-// goroutine.
+// Serve sends and receives until ctx is done, and then closes the socket. It calls handle for each valid message,
+// always from the same goroutine.
 func (c *Conn) Serve(ctx context.Context, handle Handler) {
-	for c.conn.Load() == nil {
+	for c.socket.Load() == nil {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(listenRetryInterval):
-			c.listen() // fails while the other process has the address
+			c.listen() // fails while another process uses the address
 		}
 	}
-	conn := c.conn.Load()
+	socket := c.socket.Load()
 	if c.cfg.Role == Parent {
-		conn.SetReadBuffer(parentReadBuffer)
+		socket.SetReadBuffer(parentReceiveBufferSize)
 	}
-	go c.writeQueued(ctx, conn)
-	buffer := make([]byte, maxRead)
+	go c.writeLoop(ctx, socket)
+	buffer := make([]byte, readBufferSize)
 	for {
-		n, addr, err := conn.ReadFromUDPAddrPort(buffer)
+		n, addr, err := socket.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		} else if err != nil {
-			continue // an ICMP error in answer to an earlier datagram
+			continue // ICMP error caused by a datagram sent earlier
 		}
 		c.receive(buffer[:n], netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port()), handle)
 	}
 }
 
-func (c *Conn) writeQueued(ctx context.Context, conn *net.UDPConn) {
+func (c *Conn) writeLoop(ctx context.Context, socket *net.UDPConn) {
 	for {
 		select {
 		case <-ctx.Done():
-			conn.Close()
+			socket.Close()
 			return
-		case d := <-c.queue:
-			c.write(conn, d)
+		case datagram := <-c.sendQueue:
+			c.writeDatagram(socket, datagram)
 		}
 	}
 }
 
-// write sends a datagram, or has the laboratory's link delay or lose it.
-func (c *Conn) write(conn *net.UDPConn, d datagram) {
+// writeDatagram sends a datagram, subject to the simulated link if there is one.
+func (c *Conn) writeDatagram(socket *net.UDPConn, datagram outgoingDatagram) {
 	send := func() error {
-		_, err := conn.WriteToUDPAddrPort(d.data, d.to)
+		_, err := socket.WriteToUDPAddrPort(datagram.data, datagram.to)
 		return err
 	}
 	var err error
 	if c.cfg.SimulateLink == nil {
 		err = send()
-	} else if delay, ok := c.cfg.SimulateLink(d.to); ok && delay > 0 {
+	} else if delay, ok := c.cfg.SimulateLink(datagram.to); ok && delay > 0 {
 		time.AfterFunc(delay, func() { send() })
 	} else if ok {
 		err = send()
@@ -167,11 +167,11 @@
 		return
 	}
 	c.Counters.Sent.Add(1)
-	c.Counters.SentBytes.Add(int64(len(d.data)))
+	c.Counters.SentBytes.Add(int64(len(datagram.data)))
 }
 
-// Send queues a message to the peer with a number. It drops the message where no peer has the number, where the peer is
-// this node itself, or where the queue is full. It never blocks.
+// Send queues a message to the peer with index to. It drops the message if there is no such peer, if the peer is this
+// node, or if the queue is full. It never blocks.
 func (c *Conn) Send(to int, message cbor.Marshaler) {
 	addrs := c.peers.Load().addrs
 	if to < 0 || to >= len(addrs) || c.cfg.Role == Member && to == c.cfg.Index {
@@ -181,7 +181,7 @@
 	c.SendTo(addrs[to], message)
 }
 
-// SendTo queues a message to an address, such as one that a child sent from. It drops the message where the queue is
+// SendTo queues a message to an address, such as the one from which a child sent. It drops the message if the queue is
 // full. It never blocks.
 func (c *Conn) SendTo(to netip.AddrPort, message cbor.Marshaler) {
 	body, err := message.MarshalCBOR()
@@ -189,14 +189,15 @@
 		c.Counters.Dropped.Add(1)
 		return
 	}
-	data, err := cbor.Marshal(envelope{Version: Version, Kind: c.cfg.Role.messageKind(), From: c.cfg.Index, Body: body})
+	data, err := cbor.Marshal(envelope{Version: Version, Kind: c.cfg.Role.messageKind(), SenderIndex: c.cfg.Index,
+		Body: body})
 	if err != nil || len(data) > MaxDatagramSize {
 		c.Counters.Dropped.Add(1)
 		c.log.Error("message not sent: too long", zap.Int("bytes", len(data)))
 		return
 	}
 	select {
-	case c.queue <- datagram{to, data}:
+	case c.sendQueue <- outgoingDatagram{to, data}:
 	default:
 		c.Counters.Dropped.Add(1)
 	}
--- a/internal/control/transport/conn_test.go
+++ b/internal/control/transport/conn_test.go
@@ -13,17 +13,17 @@
 	"brassmux/budget"
 )
 
-// patience is how long a test waits for what has to come.
-const patience = 10 * time.Second
+// receiveTimeout is how long a test waits for a datagram or message.
+const receiveTimeout = 10 * time.Second
 
-// openSocket opens one on the loopback address.
+// openSocket opens a UDP socket on the loopback address, and closes it at the end of the test.
 func openSocket(t *testing.T) *net.UDPConn {
-	c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	socket, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	return c
+	t.Cleanup(func() { socket.Close() })
+	return socket
 }
 
 func mustMarshal(t *testing.T, value any) []byte {
@@ -35,10 +35,12 @@
 	return data
 }
 
-// Messages arrive under their sender's number; all other datagrams are counted by what is wrong with them, and dropped.
-func TestOnlyPeersMessagesArrive(t *testing.T) {
-	friend, stranger := openSocket(t), openSocket(t)
-	peers := []string{"127.0.0.1:1", friend.LocalAddr().String()}
+// Guards against a member of a group that handles a datagram from an unknown address, of another version, with another
+// sender's index or in an invalid format. Each is dropped and counted by its fault; a valid message is handled with the
+// index of its sender.
+func TestConnDropsInvalidDatagrams(t *testing.T) {
+	peerSocket, unknownSocket := openSocket(t), openSocket(t)
+	peers := []string{"127.0.0.1:1", peerSocket.LocalAddr().String()}
 	c, err := New(Config{Listen: "127.0.0.1:0", Peers: peers, Index: 0}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
@@ -48,7 +50,7 @@
 		message, err := budget.DecodeMessage(body)
 		request, ok := message.(budget.LeaseRequest)
 		if err != nil || !ok || from != 1 {
-			t.Errorf("from %d: %v", from, err)
+			t.Errorf("received message from peer %d, want a lease request from peer 1: %v", from, err)
 		}
 		messages <- request
 	})
@@ -56,48 +58,52 @@
 	message := budget.LeaseRequest{Incarnation: 7, Seq: 1,
 		Wanted: []budget.Amount{{ID: id, Units: 3}}}
 	body := mustMarshal(t, message)
-	send := func(from *net.UDPConn, value any) { from.WriteTo(mustMarshal(t, value), c.conn.Load().LocalAddr()) }
-	send(stranger, envelope{Version: Version, Kind: GroupMessage, From: 1, Body: body})
-	send(friend, envelope{Version: Version + 1, Kind: GroupMessage, From: 1, Body: body})
-	send(friend, []any{Version + 1, "of another form"}) // as the build before or after may send
-	send(friend, envelope{Version: Version, Kind: GroupMessage, From: 0, Body: body})
-	send(friend, "no envelope")
-	send(friend, envelope{Version: Version, Kind: GroupMessage, From: 1, Body: body})
+	send := func(from *net.UDPConn, value any) { from.WriteTo(mustMarshal(t, value), c.socket.Load().LocalAddr()) }
+	send(unknownSocket, envelope{Version: Version, Kind: GroupMessage, SenderIndex: 1, Body: body})
+	send(peerSocket, envelope{Version: Version + 1, Kind: GroupMessage, SenderIndex: 1, Body: body})
+	send(peerSocket, []any{Version + 1, "other format"}) // an older or newer build may send this
+	send(peerSocket, envelope{Version: Version, Kind: GroupMessage, SenderIndex: 0, Body: body})
+	send(peerSocket, "not an envelope")
+	send(peerSocket, envelope{Version: Version, Kind: GroupMessage, SenderIndex: 1, Body: body})
 	select {
 	case got := <-messages:
 		if got.Incarnation != 7 || len(got.Wanted) != 1 || got.Wanted[0].Units != 3 ||
 			got.Wanted[0].ID.Subject != 1<<63 {
-			t.Errorf("got %+v", got)
+			t.Errorf("received %+v, want the message that was sent", got)
 		}
-	case <-time.After(patience):
-		t.Fatal("no message")
+	case <-time.After(receiveTimeout):
+		t.Fatal("no message received")
 	}
-	n := &c.Counters
-	if n.UnknownSender.Load() != 2 || n.OtherVersion.Load() != 2 || n.Unreadable.Load() != 1 || n.Received.Load() != 1 {
-		t.Errorf("%d unknown, %d of another version, %d unreadable, %d received", n.UnknownSender.Load(),
-			n.OtherVersion.Load(), n.Unreadable.Load(), n.Received.Load())
+	counters := &c.Counters
+	if counters.UnknownSender.Load() != 2 || counters.OtherVersion.Load() != 2 || counters.Unreadable.Load() != 1 ||
+		counters.Received.Load() != 1 {
+		t.Errorf("%d unknown sender, %d other version, %d unreadable, %d received; want 2, 2, 1, 1",
+			counters.UnknownSender.Load(), counters.OtherVersion.Load(), counters.Unreadable.Load(),
+			counters.Received.Load())
 	}
-	checkSends(t, c, friend, message)
+	checkSendAndDrop(t, c, peerSocket, message)
 }
 
-// checkSends sends a message to a friend, number 1, and drops those that cannot be sent.
-func checkSends(t *testing.T, c *Conn, friend *net.UDPConn, message budget.Message) {
+// checkSendAndDrop checks that a message to the peer with index 1 is sent, and that messages to the sending node
+// itself, to an unknown index and over the maximum size are dropped and counted.
+func checkSendAndDrop(t *testing.T, c *Conn, peerSocket *net.UDPConn, message budget.Message) {
 	c.Send(1, message)
-	friend.SetReadDeadline(time.Now().Add(patience))
-	buf := make([]byte, 2000)
-	if got, _, err := friend.ReadFrom(buf); err != nil || got > 60 {
-		t.Errorf("%d bytes, %v", got, err)
+	peerSocket.SetReadDeadline(time.Now().Add(receiveTimeout))
+	buffer := make([]byte, 2000)
+	if size, _, err := peerSocket.ReadFrom(buffer); err != nil || size > 60 {
+		t.Errorf("received a datagram of %d bytes, want at most 60: %v", size, err)
 	}
-	c.Send(0, message) // itself
-	c.Send(2, message) // nobody
+	c.Send(0, message) // the sending node itself
+	c.Send(2, message) // no such peer
 	c.Send(1, budget.LeaseRequest{Releases: make([]budget.Release, 2000)})
-	if n := c.Counters.Dropped.Load(); n != 3 {
-		t.Errorf("%d dropped", n)
+	if dropped := c.Counters.Dropped.Load(); dropped != 3 {
+		t.Errorf("%d messages dropped, want 3", dropped)
 	}
 }
 
-// A message with every list full fits a datagram.
-func TestTheLongestMessageFits(t *testing.T) {
+// Guards against a request with every list full and large values in its fields that exceeds MaxDatagramSize and cannot
+// be sent.
+func TestLongestMessageFitsDatagram(t *testing.T) {
 	id := budget.ID{Kind: 1, Subject: 1<<64 - 1, Since: 1<<62 - 1}
 	message := budget.LeaseRequest{Incarnation: 1<<64 - 1, Seq: 1 << 40, LeaderClock: 1 << 62, Leader: 1<<64 - 1,
 		ReleasesTo: 1<<64 - 1}
@@ -106,99 +112,107 @@
 		message.Wanted = append(message.Wanted, budget.Amount{ID: id, Units: 100})
 		message.Releases = append(message.Releases, budget.Release{Grant: 1 << 40, Used: 100})
 	}
-	c := &Conn{cfg: Config{Index: 0}, log: zap.NewNop(), queue: make(chan datagram, 1)}
+	c := &Conn{cfg: Config{Index: 0}, log: zap.NewNop(), sendQueue: make(chan outgoingDatagram, 1)}
 	c.peers.Store(&addressBook{addrs: make([]netip.AddrPort, 2)})
 	if c.Send(1, message); c.Counters.Dropped.Load() != 0 {
-		t.Error("too long")
+		t.Error("the longest message does not fit into a datagram")
 	}
 }
 
-// arrival is a message that was handled.
-type arrival struct {
-	from int
-	addr netip.AddrPort
+// messageSource is the sender of a handled message.
+type messageSource struct {
+	index int
+	addr  netip.AddrPort
 }
 
-// startServing gives a connection that serves, its address, and what arrives.
-func startServing(t *testing.T, cfg Config) (*Conn, netip.AddrPort, chan arrival) {
+// startConn starts a Conn, and returns it with its address and the senders of the messages that it handles.
+func startConn(t *testing.T, cfg Config) (*Conn, netip.AddrPort, chan messageSource) {
 	cfg.Listen = "127.0.0.1:0"
 	c, err := New(cfg, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	arrivals := make(chan arrival, 10)
-	go c.Serve(t.Context(), func(from int, addr netip.AddrPort, _ []byte) { arrivals <- arrival{from, addr} })
-	return c, c.conn.Load().LocalAddr().(*net.UDPAddr).AddrPort(), arrivals
+	sources := make(chan messageSource, 10)
+	go c.Serve(t.Context(), func(from int, addr netip.AddrPort, _ []byte) { sources <- messageSource{from, addr} })
+	return c, c.socket.Load().LocalAddr().(*net.UDPAddr).AddrPort(), sources
 }
 
-func checkArrival(t *testing.T, what string, arrivals chan arrival, want arrival) {
+func checkNextSource(t *testing.T, description string, sources chan messageSource, want messageSource) {
 	t.Helper()
 	select {
-	case got := <-arrivals:
+	case got := <-sources:
 		if got != want {
-			t.Errorf("%s: got %v, want %v", what, got, want)
+			t.Errorf("%s: got %v, want %v", description, got, want)
 		}
-	case <-time.After(patience):
-		t.Fatalf("%s: no message", what)
+	case <-time.After(receiveTimeout):
+		t.Fatalf("%s: no message", description)
 	}
 }
 
-// A control machine knows its children by number wherever they are, and answers there; a node accepts its control
-// machines' addresses alone. All else is counted by what is wrong with it and dropped: also a message of the group, one
-// of a number that no child has, and one longer than any of ours, even where its first part reads well.
-func TestChildrenAndTheirControlMachines(t *testing.T) {
-	parent, above, requests := startServing(t, Config{Role: Parent, Index: 1, MaxChildren: 10})
-	unused := "127.0.0.1:1"
-	child, below, answers := startServing(t, Config{Role: Child, Peers: []string{unused, above.String()}, Index: 9})
+// Guards against control machines and children that handle invalid datagrams. A control machine accepts children by
+// index from any address; a child accepts the addresses of its control machines only. All other datagrams are dropped
+// and counted by their fault: of another message kind or version, with an index that no child has, or longer than
+// MaxDatagramSize, even if they begin with a valid envelope.
+func TestParentAndChildDropInvalidDatagrams(t *testing.T) {
+	parent, parentAddr, requests := startConn(t, Config{Role: Parent, Index: 1, MaxChildren: 10})
+	unusedAddr := "127.0.0.1:1"
+	child, childAddr, responses := startConn(t,
+		Config{Role: Child, Peers: []string{unusedAddr, parentAddr.String()}, Index: 9})
 	child.Send(1, budget.LeaseRequest{Incarnation: 5})
-	checkArrival(t, "request", requests, arrival{9, below})
-	parent.SendTo(below, budget.LeaseResponse{Incarnation: 6})
-	checkArrival(t, "answer", answers, arrival{1, above})
+	checkNextSource(t, "request", requests, messageSource{9, childAddr})
+	parent.SendTo(childAddr, budget.LeaseResponse{Incarnation: 6})
+	checkNextSource(t, "response", responses, messageSource{1, parentAddr})
 
-	stranger := openSocket(t)
-	send := func(to netip.AddrPort, e envelope, more int) {
-		stranger.WriteToUDPAddrPort(append(mustMarshal(t, e), make([]byte, more)...), to)
+	otherSocket := openSocket(t)
+	send := func(to netip.AddrPort, message envelope, trailingBytes int) {
+		otherSocket.WriteToUDPAddrPort(append(mustMarshal(t, message), make([]byte, trailingBytes)...), to)
 	}
 	body := mustMarshal(t, budget.LeaseRequest{Incarnation: 7})
-	good := envelope{Version: Version, Kind: ChildMessage, From: 3, Body: body}
+	valid := envelope{Version: Version, Kind: ChildMessage, SenderIndex: 3, Body: body}
 	for _, change := range []func(e *envelope){
-		func(e *envelope) { e.From = 10 }, func(e *envelope) { e.From = -1 },
+		func(e *envelope) { e.SenderIndex = 10 }, func(e *envelope) { e.SenderIndex = -1 },
 		func(e *envelope) { e.Kind = GroupMessage }, func(e *envelope) { e.Version++ }} {
-		e := good
-		change(&e)
-		send(above, e, 0)
-	}
-	send(above, good, MaxDatagramSize)
-	send(below, good, 0)
-	send(above, good, 0)
-	checkArrival(t, "after all the bad ones", requests, arrival{3, stranger.LocalAddr().(*net.UDPAddr).AddrPort()})
-	parent.SendTo(below, budget.LeaseResponse{Incarnation: 6})
-	checkArrival(t, "after a stranger's", answers, arrival{1, above})
-	n := &parent.Counters
-	if n.UnknownSender.Load() != 2 || n.Unreadable.Load() != 1 || n.OtherVersion.Load() != 1 || n.TooLong.Load() != 1 ||
-		n.Received.Load() != 2 {
-		t.Errorf("%d of unknown numbers, %d unreadable, %d of another version, %d too long, %d received",
-			n.UnknownSender.Load(), n.Unreadable.Load(), n.OtherVersion.Load(), n.TooLong.Load(), n.Received.Load())
-	}
-	if n := &child.Counters; n.UnknownSender.Load() != 1 || n.Received.Load() != 2 {
-		t.Errorf("at the node %d of unknown addresses, %d received", n.UnknownSender.Load(), n.Received.Load())
+		invalid := valid
+		change(&invalid)
+		send(parentAddr, invalid, 0)
+	}
+	send(parentAddr, valid, MaxDatagramSize)
+	send(childAddr, valid, 0)
+	send(parentAddr, valid, 0)
+	checkNextSource(t, "request after invalid datagrams", requests,
+		messageSource{3, otherSocket.LocalAddr().(*net.UDPAddr).AddrPort()})
+	parent.SendTo(childAddr, budget.LeaseResponse{Incarnation: 6})
+	checkNextSource(t, "response after a datagram from an unknown address", responses, messageSource{1, parentAddr})
+	counters := &parent.Counters
+	if counters.UnknownSender.Load() != 2 || counters.Unreadable.Load() != 1 || counters.OtherVersion.Load() != 1 ||
+		counters.TooLong.Load() != 1 || counters.Received.Load() != 2 {
+		t.Errorf(
+			"parent: %d unknown sender, %d unreadable, %d other version, %d too long, %d received; want 2, 1, 1, 1, 2",
+			counters.UnknownSender.Load(), counters.Unreadable.Load(), counters.OtherVersion.Load(),
+			counters.TooLong.Load(), counters.Received.Load())
+	}
+	if childCounters := &child.Counters; childCounters.UnknownSender.Load() != 1 || childCounters.Received.Load() != 2 {
+		t.Errorf("child: %d unknown sender, %d received; want 1, 2", childCounters.UnknownSender.Load(),
+			childCounters.Received.Load())
 	}
 }
 
-// Guards against a log that a stranger can fill: of any number of bad datagrams it has a line a second at most.
-func TestStrangersDoNotFillTheLog(t *testing.T) {
+// Guards against an unknown sender that fills the log: however many invalid datagrams it sends, at most one line per
+// second is logged.
+func TestRejectionsAreLoggedOncePerSecond(t *testing.T) {
 	core, logs := observer.New(zap.WarnLevel)
 	c, err := New(Config{Role: Parent, Listen: "127.0.0.1:0", MaxChildren: 1}, zap.New(core))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	began := time.Now()
+	start := time.Now()
 	for i := range 10_000 {
 		c.receive([]byte{0xff, byte(i)}, netip.AddrPort{}, nil)
 	}
-	limit := int(time.Since(began)/time.Second) + 2
-	if logs.Len() == 0 || logs.Len() > limit || c.Counters.Unreadable.Load() != 10_000 {
-		t.Errorf("%d lines, %d are the most, of %d datagrams", logs.Len(), limit, c.Counters.Unreadable.Load())
+	maxLines := int(time.Since(start)/time.Second) + 2
+	if logs.Len() == 0 || logs.Len() > maxLines || c.Counters.Unreadable.Load() != 10_000 {
+		t.Errorf("%d log lines, want 1 to %d; %d of 10000 datagrams counted as unreadable", logs.Len(), maxLines,
+			c.Counters.Unreadable.Load())
 	}
 }
