--- a/internal/control/acquire_test.go
+++ b/internal/control/acquire_test.go
@@ -7,87 +7,90 @@
 	"brassmux/budget"
 )
 
-// pair is two nodes on one clock, with a network between them.
-type pair struct {
-	nodes   [2]*Manager
-	now     time.Duration
-	sent    chan func()
-	answers map[bool]int // of acquisitions, by whether there was a unit
+// nodePair simulates two nodes that share a clock and exchange messages.
+type nodePair struct {
+	nodes    [2]*Manager
+	now      time.Duration
+	inFlight chan func()  // each delivers a message
+	results  map[bool]int // number of completed acquisitions, by whether a unit was acquired
 }
 
-// newPair makes two that share so many units of new connections, of which one is each node's own.
-func newPair(units int) *pair {
-	p := &pair{sent: make(chan func(), 1000), answers: map[bool]int{}}
+// newNodePair returns two nodes that share a number of units of Opens, of which one is guaranteed to each node.
+func newNodePair(units int) *nodePair {
+	p := &nodePair{inFlight: make(chan func(), 1000), results: map[bool]int{}}
 	for i := range p.nodes {
-		c := flatConfig(Limit{Opens, units})
-		c.GuaranteedFraction, c.Settings.NodeIndex = 0.0001, i
-		p.nodes[i] = newManager(c, func() time.Duration { return p.now })
+		cfg := flatConfig(Limit{Opens, units})
+		cfg.GuaranteedFraction, cfg.Settings.NodeIndex = 0.0001, i
+		p.nodes[i] = newManager(cfg, func() time.Duration { return p.now })
 		p.nodes[i].SetSender(fakeSender{toPeer: func(to int, message budget.Message) {
-			p.sent <- func() { p.nodes[to].HandlePeerMessage(i, message) }
+			p.inFlight <- func() { p.nodes[to].HandlePeerMessage(i, message) }
 		}})
 	}
 	return p
 }
 
-func (p *pair) exchange() {
+func (p *nodePair) exchangeMessages() {
 	for _, m := range p.nodes {
-		m.exchange()
+		m.sendDueMessages()
 	}
-	for len(p.sent) > 0 {
-		(<-p.sent)()
+	for len(p.inFlight) > 0 {
+		(<-p.inFlight)()
 	}
 }
 
-// rest lasts until nothing that was used before counts any more.
-func (p *pair) rest() {
+// expireUsage advances the clock until no unit that was used before counts any more.
+func (p *nodePair) expireUsage() {
 	for range 100 {
 		p.now += 100 * time.Millisecond
-		p.exchange()
+		p.exchangeMessages()
 	}
 }
 
-func (p *pair) want(node, n int) {
-	for range n {
-		p.nodes[node].Acquire(Opens, 7, quotaWait, func(ok bool) { p.answers[ok]++ })
+func (p *nodePair) acquire(node, count int) {
+	for range count {
+		p.nodes[node].Acquire(Opens, 7, quotaWait, func(ok bool) { p.results[ok]++ })
 	}
 }
 
-func (p *pair) answered() int { return p.answers[true] + p.answers[false] }
+func (p *nodePair) completed() int { return p.results[true] + p.results[false] }
 
-// Who waits for the other nodes' answer is answered once: with what came, or without when it is settled.
-func TestAWaiterIsAnsweredOnce(t *testing.T) {
-	p := newPair(3)
-	p.rest()
-	p.want(0, 5)
-	p.want(1, 1)
-	if p.answered() == 6 {
-		t.Fatal("nobody waits")
+// Guards against a waiter whose done function is called twice or never, or that gets a unit over the limit. Of six
+// acquisitions with a limit of three, three succeed and three fail once the other node has answered.
+func TestWaitersCompleteOnce(t *testing.T) {
+	p := newNodePair(3)
+	p.expireUsage()
+	p.acquire(0, 5)
+	p.acquire(1, 1)
+	if p.completed() == 6 {
+		t.Fatal("no acquisition waits for the other node")
 	}
-	p.exchange()
-	if p.answers[true] != 3 || p.answers[false] != 3 {
-		t.Fatalf("of six so many had one: %v, three is the limit", p.answers)
+	p.exchangeMessages()
+	if p.results[true] != 3 || p.results[false] != 3 {
+		t.Fatalf("results of six acquisitions are %v, want three that succeed and three that fail", p.results)
 	}
-	p.rest()
-	clear(p.answers)
-	waitInVain(t, p)
+	p.expireUsage()
+	clear(p.results)
+	checkWaitersTimeOut(t, p)
 }
 
-// waitInVain has five wait for an answer that is lost: each is answered once, after its time.
-func waitInVain(t *testing.T, p *pair) {
-	p.want(0, 5)
-	p.nodes[0].exchange()
-	for len(p.sent) > 0 {
-		<-p.sent // lost
+// checkWaitersTimeOut starts five acquisitions and drops the request for units. Each acquisition has to complete once,
+// after quotaWait.
+func checkWaitersTimeOut(t *testing.T, p *nodePair) {
+	p.acquire(0, 5)
+	p.nodes[0].sendDueMessages()
+	for len(p.inFlight) > 0 {
+		<-p.inFlight // the message is lost
 	}
-	if p.answered() == 5 {
-		t.Fatal("nobody waits")
+	if p.completed() == 5 {
+		t.Fatal("no acquisition waits for the other node")
 	}
 	p.now += quotaWait
 	p.nodes[0].Tick()
-	if n := len(p.nodes[0].waiters); p.answers[true] > 3 || p.answered() != 5 || n != 0 {
-		t.Errorf("so many had one: %v, %d still wait after their time", p.answers, n)
+	if waitingQuotas := len(p.nodes[0].waiters); p.results[true] > 3 || p.completed() != 5 || waitingQuotas != 0 {
+		t.Errorf("results of five acquisitions are %v, %d quotas have waiters after the deadline", p.results,
+			waitingQuotas)
 	}
-	if got := p.nodes[0].counters.rejected[Opens].Load(); got == 0 {
-		t.Error("nobody was counted")
+	if rejected := p.nodes[0].counters.rejected[Opens].Load(); rejected == 0 {
+		t.Error("failed acquisitions are not counted")
 	}
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,10 +1,10 @@
-// Package control is the control plane of a node. It acquires units of the quotas that all nodes share, so that
-// together they stay within limits that no node can keep alone, and exchanges messages for that with the other nodes or
-// with the control machines.
+// Package control is the control plane of a node. It acquires units of quotas that all nodes share, so that together
+// the nodes stay within limits that a single node cannot enforce. To do so it exchanges messages with the other nodes
+// or with control machines.
 //
-// It owns the node's part of the quotas, the waiters for units, and the limits of servers in slow start. How quotas are
-// divided and leased is left to package budget, how messages travel to package transport, and where clients go to
-// package balance.
+// The package owns the node's share of the quotas, the waiters for units and the limits of servers in slow start.
+// Package budget divides and leases quotas, package transport sends and receives messages, and package balance assigns
+// clients to servers.
 package control
 
 import (
@@ -19,125 +19,127 @@
 	"brassmux/internal/discovery"
 )
 
-// Loop is what the control plane needs of the node's event loop. All methods but Post are called from the loop's
-// goroutine.
+// Loop is the part of the node's event loop that the control plane uses. All methods except Post are called from the
+// loop's goroutine.
 type Loop interface {
-	// Post queues an event for the loop, and reports whether the queue had room for it. It never blocks, and is safe
-	// for concurrent use.
+	// Post queues an event for the loop and reports whether the queue had room for it. It never blocks and is safe for
+	// concurrent use.
 	Post(event func()) bool
-	// Now is the time of the node's clock since the Unix epoch; it never jumps.
+	// Now returns the time since the Unix epoch by the node's clock, which never jumps.
 	Now() time.Duration
-	// Uptime is the monotonic time since the process started.
+	// Uptime returns the monotonic time since the process started.
 	Uptime() time.Duration
-	// WakeAt has Tick called at a time of Now.
+	// WakeAt schedules a call of Manager.Tick for the time at, on the clock of Now.
 	WakeAt(at time.Duration)
-	// Servers returns those of the endpoint list. The caller must not change the map.
+	// Servers returns the servers in the endpoint list. The caller must not modify the map.
 	Servers() map[balance.ServerID]discovery.Endpoint
-	// StartedAt is when a listed server started, as a time of Now.
+	// StartedAt returns the time at which a listed server started, on the clock of Now.
 	StartedAt(server balance.ServerID) time.Duration
-	// OnQuotaAnswer is called once a request for units of a server's quota was answered, with units or without.
+	// OnQuotaAnswer is called when a request for units of a server's slow start quota has been answered, whether or not
+	// units were granted.
 	OnQuotaAnswer(server balance.ServerID)
-	// MoveClient has a client close its connection and open another one.
+	// MoveClient makes a client close its connection and open another one.
 	MoveClient(request balance.RequestID)
 }
 
-// Config says what the nodes share, and where they are. Package node has checked it.
+// Config is the configuration of a Manager. Package node validates it.
 type Config struct {
-	Settings    balance.Config // of the site, with the number and index of this node and the settings of slow start
+	Settings    balance.Config // including NodeCount, NodeIndex and the slow start settings
 	Incarnation uint64         // differs between the processes of a node
-	Epoch       time.Duration  // what Loop.Now showed when Loop.Uptime was 0
+	Epoch       time.Duration  // Loop.Now at the time when Loop.Uptime was 0
 
 	Limits                    []Limit
 	GuaranteedFraction        float64       // fraction of each limit, 0 to 1, that is divided evenly among the nodes
 	ControlGuaranteedFraction float64       // fraction of the rest that is divided evenly among the control machines
-	LeaseTerm                 time.Duration // leased units are used within it
-	ChildLeaseTerm            time.Duration // those leased from control machines
-	ConnectionLeaseTerm       time.Duration // a lease of an open connection is renewed within it
+	LeaseTerm                 time.Duration // time within which a leased unit has to be used
+	ChildLeaseTerm            time.Duration // the same for units leased from control machines
+	ConnectionLeaseTerm       time.Duration // time within which the lease of an open connection has to be renewed
 	HeartbeatInterval         time.Duration // between a node's messages
-	MaxClockDrift             float64       // by which any two monotonic clocks differ in speed, as a fraction
+	MaxClockDrift             float64       // maximum difference in rate of two monotonic clocks, as a fraction
 	ConnectTimeout            time.Duration // of connections to servers
 	ListConnectTimeout        time.Duration // of connections to the discovery service
-	ConnectionCloseDelay      time.Duration // what a client takes to close a connection
+	ConnectionCloseDelay      time.Duration // time that a client takes to close a connection
 
 	Listen       string   // this node's address for messages
-	Peers        []string // the group's addresses, by number: all nodes, or at a control machine all control machines
-	Parents      []string // the control machines of an ordinary node, by preference
-	ChildListen  string   // a control machine's address for messages of its children; "" at an ordinary node
-	ControlIndex int      // a control machine's number
-	MaxChildren  int      // how many numbers a control machine's children have
-	RetryListen  bool     // another process of this node may still have the addresses
-
-	// SimulateLink delays or loses messages in the laboratory, as transport.Config.SimulateLink.
+	Peers        []string // addresses of the group by index: all nodes or, at a control machine, all control machines
+	Parents      []string // addresses of an ordinary node's control machines, in order of preference
+	ChildListen  string   // a control machine's address for messages from its children; "" at an ordinary node
+	ControlIndex int      // a control machine's index
+	MaxChildren  int      // number of indexes that a control machine's children may have
+	RetryListen  bool     // another process of this node may still use the addresses; see transport.Config
+
+	// SimulateLink delays or drops messages in the laboratory; see transport.Config.
 	SimulateLink func(to netip.AddrPort) (delay time.Duration, ok bool)
 }
 
 func (c *Config) isControlMachine() bool { return c.ChildListen != "" }
 
-// sendMargin bounds the time from a decision to the start of a connection.
+// sendMargin is the maximum time from a decision to the start of a connection.
 const sendMargin = 50 * time.Millisecond
 
-// sendWithin bounds the time from the decision for an attempt to its arrival at the server. Windows are longer by it,
-// as a unit is acquired at the decision and counts at the server.
-func (c *Config) sendWithin() time.Duration { return c.ConnectTimeout + sendMargin }
+// maxSendDelay returns the maximum time from the decision for an attempt to its arrival at the server. Windows are
+// extended by it, because a unit is acquired at the time of the decision but counts at the time of arrival.
+func (c *Config) maxSendDelay() time.Duration { return c.ConnectTimeout + sendMargin }
 
-// listCallWithin bounds the same time of a call for the endpoint list.
-func (c *Config) listCallWithin() time.Duration { return c.ListConnectTimeout + sendMargin }
+// maxListCallDelay returns the same time for a call for the endpoint list.
+func (c *Config) maxListCallDelay() time.Duration { return c.ListConnectTimeout + sendMargin }
 
-// Manager acquires units of shared quotas for a node. Its methods are called from the loop's goroutine, unless they say
-// otherwise. A nil Manager is that of a node that shares no quotas: it limits nothing.
+// Manager acquires units of shared quotas for a node. Its methods have to be called from the loop's goroutine unless
+// stated otherwise. A nil *Manager is valid at a node that shares no quotas: it limits nothing.
 type Manager struct {
 	loop Loop
 	log  *zap.Logger
 	cfg  Config
 
-	quotas *budget.Member // of the group that this node belongs to
-	parent *budget.Parent // at a control machine; nil elsewhere
-	source quotaSource    // one of the two
+	member      *budget.Member // of this node's group
+	parent      *budget.Parent // nil except at a control machine
+	participant participant    // parent at a control machine, else member
 
 	peers    *transport.Conn
-	children *transport.Conn // nil but at a control machine
+	children *transport.Conn // nil except at a control machine
 	sender   Sender
 
-	limited   [kindCount]bool
-	requested bool          // a request for units has not been sent yet
-	wakeAt    time.Duration // the next call of Tick, as a time of Loop.Now; none where it is past
-	waiters   map[budget.ID][]waiter
-	customers map[balance.RequestID]budget.ID // of connections that count towards concurrency limits
-	slowStart slowStart
-	addrs     map[int]childAddresses // of children, by number
-	logged    loggedState
-	counters  counters
+	hasLimit         [kindCount]bool
+	hasUnsentRequest bool          // whether a request for units has not been sent yet
+	nextTick         time.Duration // next scheduled call of Tick, on the clock of Loop.Now; none if in the past
+	waiters          map[budget.ID][]waiter
+	openConnections  map[balance.RequestID]budget.ID // quotas of connections that count towards concurrency limits
+	slowStart        slowStart
+	childAddrs       map[int]childAddresses // by the index of the child
+	lastLogged       loggedState
+	counters         counters
 }
 
-// Sender sends messages to other nodes, by their numbers. They may arrive late, twice or never. It does not block.
+// Sender sends messages to other nodes, given their indexes. Messages may arrive late, twice or never. Its methods do
+// not block.
 type Sender interface {
 	SendToPeer(to int, message budget.Message)
 	SendToChild(to int, response budget.LeaseResponse)
 }
 
-// quotaSource is what a member of a group and a control machine have in common.
-type quotaSource interface {
+// participant is the common interface of budget.Member and budget.Parent.
+type participant interface {
 	Define(now time.Duration, spec budget.Spec)
-	SetRule(kind uint8, ofKind budget.Rule)
+	SetRule(kind uint8, kindRule budget.Rule)
 	Drop(id budget.ID)
 	Tick(now time.Duration) []budget.Action
 	Leave(now time.Duration) []budget.Action
 }
 
-// New returns the control plane of a node that starts. Nothing is sent or received before Listen.
+// New returns the Manager of a starting node. It sends and receives no messages before Listen.
 func New(cfg Config, loop Loop, log *zap.Logger) *Manager {
 	m := &Manager{loop: loop, log: log, cfg: cfg, waiters: map[budget.ID][]waiter{},
-		customers: map[balance.RequestID]budget.ID{}, slowStart: newSlowStart(), addrs: map[int]childAddresses{},
-		quotas: budget.New(cfg.groupSettings(), cfg.Incarnation, 0)}
-	m.source = m.quotas
+		openConnections: map[balance.RequestID]budget.ID{}, slowStart: newSlowStart(),
+		childAddrs: map[int]childAddresses{}, member: budget.New(cfg.groupSettings(), cfg.Incarnation, 0)}
+	m.participant = m.member
 	if cfg.isControlMachine() {
-		m.parent = budget.NewParent(cfg.nodeSettings(), m.quotas, cfg.Incarnation, 0)
-		m.source = m.parent
+		m.parent = budget.NewParent(cfg.nodeSettings(), m.member, cfg.Incarnation, 0)
+		m.participant = m.parent
 	}
 	for _, limit := range cfg.Limits {
 		if limit.Units > 0 {
-			m.limited[limit.Kind] = true
-			m.source.SetRule(uint8(limit.Kind), cfg.budgetRule(limit))
+			m.hasLimit[limit.Kind] = true
+			m.participant.SetRule(uint8(limit.Kind), cfg.budgetRule(limit))
 		}
 	}
 	return m
--- a/internal/control/counters.go
+++ b/internal/control/counters.go
@@ -7,48 +7,48 @@
 	"brassmux/internal/control/transport"
 )
 
-// figures are the counts that belong to the loop's goroutine.
-type figures struct {
+// counterSnapshot is a copy of the counts that only the loop's goroutine may read.
+type counterSnapshot struct {
 	group     budget.Counters
 	followers int
 	parent    budget.ParentCounters
 	children  int
 }
 
-// counter maps the name of a counter, as operators' tools read it, to its value.
+// counter defines a counter by its published name and its value in a snapshot.
 type counter struct {
 	name string
-	read func(f *figures) int64
+	read func(s *counterSnapshot) int64
 }
 
-// groupCounters are those of a member of a group.
+// groupCounters are the counters of a member of a group.
 var groupCounters = [...]counter{
-	{"budget_own", func(f *figures) int64 { return f.group.Reserved }},
-	{"budget_leased", func(f *figures) int64 { return f.group.Leased }},
-	{"budget_short", func(f *figures) int64 { return f.group.Denied }},
-	{"budget_given", func(f *figures) int64 { return f.group.Granted }},
-	{"budget_lapsed", func(f *figures) int64 { return f.group.Expired }},
-	{"budget_stale", func(f *figures) int64 { return f.group.Stale }},
-	{"budget_twins", func(f *figures) int64 { return f.group.DuplicateIDs }},
-	{"budget_keepers", func(f *figures) int64 { return f.group.LeaderChanges }},
-	{"budget_followers", func(f *figures) int64 { return int64(f.followers) }},
+	{"budget_own", func(s *counterSnapshot) int64 { return s.group.Reserved }},
+	{"budget_leased", func(s *counterSnapshot) int64 { return s.group.Leased }},
+	{"budget_short", func(s *counterSnapshot) int64 { return s.group.Denied }},
+	{"budget_given", func(s *counterSnapshot) int64 { return s.group.Granted }},
+	{"budget_lapsed", func(s *counterSnapshot) int64 { return s.group.Expired }},
+	{"budget_stale", func(s *counterSnapshot) int64 { return s.group.Stale }},
+	{"budget_twins", func(s *counterSnapshot) int64 { return s.group.DuplicateIDs }},
+	{"budget_keepers", func(s *counterSnapshot) int64 { return s.group.LeaderChanges }},
+	{"budget_followers", func(s *counterSnapshot) int64 { return int64(s.followers) }},
 }
 
-// parentCounters are those of a control machine.
+// parentCounters are the counters of a control machine.
 var parentCounters = [...]counter{
-	{"budget_children", func(f *figures) int64 { return int64(f.children) }},
-	{"budget_asks", func(f *figures) int64 { return f.parent.Requests }},
-	{"budget_lent", func(f *figures) int64 { return f.parent.FromChildren }},
-	{"budget_passed", func(f *figures) int64 { return f.parent.FromGroup }},
-	{"budget_held_back", func(f *figures) int64 { return f.parent.Deferred }},
-	{"budget_held_full", func(f *figures) int64 { return f.parent.DeferralsFull }},
-	{"budget_strange_asks", func(f *figures) int64 { return f.parent.Unknown }},
+	{"budget_children", func(s *counterSnapshot) int64 { return int64(s.children) }},
+	{"budget_asks", func(s *counterSnapshot) int64 { return s.parent.Requests }},
+	{"budget_lent", func(s *counterSnapshot) int64 { return s.parent.FromChildren }},
+	{"budget_passed", func(s *counterSnapshot) int64 { return s.parent.FromGroup }},
+	{"budget_held_back", func(s *counterSnapshot) int64 { return s.parent.Deferred }},
+	{"budget_held_full", func(s *counterSnapshot) int64 { return s.parent.DeferralsFull }},
+	{"budget_strange_asks", func(s *counterSnapshot) int64 { return s.parent.Unknown }},
 }
 
-// transportCounters are those of a socket, without their prefix.
+// transportCounters are the counters of a socket, with their names without the prefix.
 var transportCounters = [...]struct {
 	name  string
-	count func(c *transport.Counters) *atomic.Int64
+	value func(c *transport.Counters) *atomic.Int64
 }{
 	{"words_sent", func(c *transport.Counters) *atomic.Int64 { return &c.Sent }},
 	{"bytes_sent", func(c *transport.Counters) *atomic.Int64 { return &c.SentBytes }},
@@ -63,36 +63,38 @@
 
 // The prefixes of transportCounters.
 const (
-	peerPrefix  = "peer_"
-	childPrefix = "child_"
+	peerCounterPrefix  = "peer_"
+	childCounterPrefix = "child_"
 )
 
-// counters are safe for concurrent use. Those of figures are as of the last exchange.
+// counters holds published counters. It is safe for concurrent use. The group and parent counters are updated whenever
+// the node sends its due messages.
 type counters struct {
 	group    [len(groupCounters)]atomic.Int64
 	parent   [len(parentCounters)]atomic.Int64
-	rejected [kindCount]atomic.Int64 // requests for units, by kind
+	rejected [kindCount]atomic.Int64 // failed acquisitions, by kind
 }
 
+// publishCounters copies the counts of package budget to the published counters.
 func (m *Manager) publishCounters() {
-	f := figures{group: m.quotas.Counters, followers: m.quotas.State(m.loop.Uptime()).Followers}
+	snapshot := counterSnapshot{group: m.member.Counters, followers: m.member.State(m.loop.Uptime()).Followers}
 	if m.parent != nil {
-		f.parent, f.children = m.parent.Counters, m.parent.State(m.loop.Uptime()).Children
+		snapshot.parent, snapshot.children = m.parent.Counters, m.parent.State(m.loop.Uptime()).Children
 	}
-	m.counters.publish(&f)
+	m.counters.publish(&snapshot)
 }
 
-func (c *counters) publish(f *figures) {
+func (c *counters) publish(snapshot *counterSnapshot) {
 	for i := range groupCounters {
-		c.group[i].Store(groupCounters[i].read(f))
+		c.group[i].Store(groupCounters[i].read(snapshot))
 	}
 	for i := range parentCounters {
-		c.parent[i].Store(parentCounters[i].read(f))
+		c.parent[i].Store(parentCounters[i].read(snapshot))
 	}
 }
 
-// Counters calls add with the name and value of each counter, always in the same order. A nil Manager has none. It is
-// safe for concurrent use.
+// Counters calls add with the name and value of each counter, always in the same order. A nil *Manager has no counters.
+// Counters is safe for concurrent use.
 func (m *Manager) Counters(add func(name string, value int64)) {
 	if m == nil {
 		return
@@ -101,7 +103,7 @@
 		add(groupCounters[i].name, m.counters.group[i].Load())
 	}
 	for kind := Retries; kind < kindCount; kind++ {
-		if m.limited[kind] {
+		if m.hasLimit[kind] {
 			add(kind.rejectedCounter(), m.counters.rejected[kind].Load())
 		}
 	}
@@ -110,15 +112,15 @@
 			add(parentCounters[i].name, m.counters.parent[i].Load())
 		}
 	}
-	addTransportCounters(add, peerPrefix, m.peers)
-	addTransportCounters(add, childPrefix, m.children)
+	addTransportCounters(add, peerCounterPrefix, m.peers)
+	addTransportCounters(add, childCounterPrefix, m.children)
 }
 
 func addTransportCounters(add func(name string, value int64), prefix string, conn *transport.Conn) {
 	if conn == nil {
 		return
 	}
-	for _, c := range transportCounters {
-		add(prefix+c.name, c.count(&conn.Counters).Load())
+	for _, counter := range transportCounters {
+		add(prefix+counter.name, counter.value(&conn.Counters).Load())
 	}
 }
--- a/internal/control/exchange.go
+++ b/internal/control/exchange.go
@@ -10,66 +10,71 @@
 	"brassmux/budget"
 )
 
-// Tick updates limits, which grow as servers warm up, and sends messages that are due. To call it early does no harm.
+// Tick updates the limits of servers in slow start, which grow over time, and sends the messages that are due. It may
+// be called earlier than scheduled.
 func (m *Manager) Tick() {
 	if m != nil {
 		m.UpdateSlowStartLimits()
-		m.exchange()
+		m.sendDueMessages()
 	}
 }
 
-// exchange sends the messages that are due, and applies what else follows.
-func (m *Manager) exchange() {
-	m.requested = false
-	m.apply(m.source.Tick(m.loop.Uptime()))
+// sendDueMessages sends the messages that are due, applies the other actions that result, and logs and publishes the
+// node's state.
+func (m *Manager) sendDueMessages() {
+	m.hasUnsentRequest = false
+	m.applyActions(m.participant.Tick(m.loop.Uptime()))
 	m.logState()
 	m.publishCounters()
 }
 
-// HandlePeerMessage handles a message of a member of the group, or of a control machine of this node.
+// HandlePeerMessage handles a message from a member of this node's group or from one of its control machines.
 func (m *Manager) HandlePeerMessage(from int, message budget.Message) {
 	if m.parent == nil {
-		m.apply(m.quotas.HandleMessage(m.loop.Uptime(), from, message))
+		m.applyActions(m.member.HandleMessage(m.loop.Uptime(), from, message))
 		return
 	}
 	actions := m.parent.HandlePeerMessage(m.loop.Uptime(), from, message)
-	m.apply(append(actions, budget.ScheduleTick{After: m.parent.NextTick()}))
+	m.applyActions(append(actions, budget.ScheduleTick{After: m.parent.NextTick()}))
 }
 
-// HandleChildMessage handles a message of a child, at a control machine. Answers go to the address that it came from.
+// HandleChildMessage handles a message from a child at a control machine. Responses are sent to the address from which
+// the message was received.
 func (m *Manager) HandleChildMessage(from int, addr netip.AddrPort, message budget.Message) {
-	m.noteChildAddress(from, message.SenderIncarnation(), addr)
+	m.recordChildAddress(from, message.SenderIncarnation(), addr)
 	actions := m.parent.HandleChildMessage(m.loop.Uptime(), from, message)
-	m.apply(append(actions, budget.ScheduleTick{After: m.parent.NextTick()}))
+	m.applyActions(append(actions, budget.ScheduleTick{After: m.parent.NextTick()}))
 }
 
-// Leave returns all units that this node holds to the others. What servers in slow start may be sent is left to the
-// next process of this node, which may run already.
+// Leave returns all units that this node holds to the other nodes. The limits of servers in slow start are left to the
+// next process of this node, which may already be running.
 func (m *Manager) Leave() {
 	if m != nil {
-		m.apply(m.source.Leave(m.loop.Uptime()))
+		m.applyActions(m.participant.Leave(m.loop.Uptime()))
 	}
 }
 
-// ReplaceControlMachines replaces the control machines of a node. Their addresses, by preference, have been checked.
+// ReplaceControlMachines replaces the control machines of a node. The addresses are in order of preference and have to
+// be valid.
 func (m *Manager) ReplaceControlMachines(addrs []string) {
 	if err := m.peers.SetPeers(addrs); err != nil {
 		m.log.Error("invalid addresses of control machines", zap.Error(err))
 		return
 	}
-	m.quotas.ReplaceParents(m.loop.Uptime(), len(addrs))
+	m.member.ReplaceParents(m.loop.Uptime(), len(addrs))
 	m.log.Info("control machines replaced", zap.Strings("control", addrs))
-	m.exchange()
+	m.sendDueMessages()
 }
 
 // State returns the node's state in its group.
-func (m *Manager) State() budget.State { return m.quotas.State(m.loop.Uptime()) }
+func (m *Manager) State() budget.State { return m.member.State(m.loop.Uptime()) }
 
-// apply carries out actions: first all messages, then what may acquire units again and so change the quotas.
-func (m *Manager) apply(actions []budget.Action) {
-	var servers []balance.ServerID
-	var answered []budget.ID
-	var expiring []budget.LeaseExpiring
+// applyActions carries out actions. It sends all messages first, because the other actions may acquire units again and
+// so change the quotas.
+func (m *Manager) applyActions(actions []budget.Action) {
+	var answeredServers []balance.ServerID
+	var answeredQuotas []budget.ID
+	var expiringLeases []budget.LeaseExpiring
 	for _, action := range actions {
 		switch action := action.(type) {
 		case budget.SendRequest:
@@ -77,22 +82,22 @@
 		case budget.SendResponse:
 			m.sendResponse(action)
 		case budget.ScheduleTick:
-			m.wakeAfter(action.After)
+			m.scheduleTick(action.After)
 		case budget.LeaseExpiring:
-			expiring = append(expiring, action)
+			expiringLeases = append(expiringLeases, action)
 		case budget.RequestAnswered:
 			if action.ID.Kind == uint8(SlowStart) {
-				servers = append(servers, balance.ServerID(action.ID.Subject))
+				answeredServers = append(answeredServers, balance.ServerID(action.ID.Subject))
 			} else {
-				answered = append(answered, action.ID)
+				answeredQuotas = append(answeredQuotas, action.ID)
 			}
 		}
 	}
-	for _, lease := range expiring {
-		m.shedConnections(lease)
+	for _, lease := range expiringLeases {
+		m.moveClients(lease)
 	}
-	m.serveWaiters(answered)
-	for _, server := range servers {
+	m.completeWaiters(answeredQuotas)
+	for _, server := range answeredServers {
 		m.loop.OnQuotaAnswer(server)
 	}
 }
@@ -105,25 +110,27 @@
 	}
 }
 
-func (m *Manager) wakeAfter(delay time.Duration) {
+func (m *Manager) scheduleTick(delay time.Duration) {
 	now := m.loop.Now()
-	if at := now + delay; m.wakeAt <= now || at < m.wakeAt {
-		m.wakeAt = at
+	if at := now + delay; m.nextTick <= now || at < m.nextTick {
+		m.nextTick = at
 		m.loop.WakeAt(at)
 	}
 }
 
-// loggedState is what was last logged of the node's place among the others.
+// loggedState is the state of the node's group and its children that was last logged.
 type loggedState struct {
 	group       budget.State
 	hasChildren bool
 }
 
-// logState logs who leads the group, with what support, and whether children follow, whenever one of these has changed.
+// logState logs the leader of the group, its quorum and the recovery of this node when one of them changes. At a
+// control machine it also logs the number of children when the first one starts to follow or none is left.
 func (m *Manager) logState() {
-	state, logged := m.quotas.State(m.loop.Uptime()), &m.logged.group
-	if state.Leader != logged.Leader || state.HasQuorum != logged.HasQuorum || state.Recovering != logged.Recovering {
-		*logged = state
+	state, lastLogged := m.member.State(m.loop.Uptime()), &m.lastLogged.group
+	if state.Leader != lastLogged.Leader || state.HasQuorum != lastLogged.HasQuorum ||
+		state.Recovering != lastLogged.Recovering {
+		*lastLogged = state
 		m.log.Info("quota group", zap.Int("leader", state.Leader), zap.Bool("has_quorum", state.HasQuorum),
 			zap.Bool("recovering", state.Recovering))
 	}
@@ -131,8 +138,8 @@
 		return
 	}
 	children := m.parent.State(m.loop.Uptime()).Children
-	if has := children > 0; has != m.logged.hasChildren {
-		m.logged.hasChildren = has
+	if hasChildren := children > 0; hasChildren != m.lastLogged.hasChildren {
+		m.lastLogged.hasChildren = hasChildren
 		m.log.Info("children of this control machine", zap.Int("followers", children))
 	}
 }
--- a/internal/control/fake_test.go
+++ b/internal/control/fake_test.go
@@ -10,15 +10,15 @@
 	"brassmux/internal/discovery"
 )
 
-// quotaWait is how long a request waits for the other nodes, as in package node.
+// quotaWait is how long an acquisition waits for the answer of the other nodes, as in package node.
 const quotaWait = 100 * time.Millisecond
 
-// fakeLoop stands in for a node's event loop. Uptime is the test's own, Now is real.
+// fakeLoop is a Loop whose Uptime is controlled by the test, while its Now is real time. It drops posted events.
 type fakeLoop struct {
-	epoch  time.Time
-	uptime func() time.Duration
-	wakes  []time.Duration
-	moved  []balance.RequestID
+	epoch          time.Time
+	uptime         func() time.Duration
+	scheduledTicks []time.Duration
+	movedClients   []balance.RequestID
 }
 
 func (l *fakeLoop) Post(func()) bool { return true }
@@ -29,7 +29,7 @@
 
 func (l *fakeLoop) Uptime() time.Duration { return l.uptime() }
 
-func (l *fakeLoop) WakeAt(at time.Duration) { l.wakes = append(l.wakes, at) }
+func (l *fakeLoop) WakeAt(at time.Duration) { l.scheduledTicks = append(l.scheduledTicks, at) }
 
 func (l *fakeLoop) Servers() map[balance.ServerID]discovery.Endpoint { return nil }
 
@@ -37,9 +37,11 @@
 
 func (l *fakeLoop) OnQuotaAnswer(balance.ServerID) {}
 
-func (l *fakeLoop) MoveClient(request balance.RequestID) { l.moved = append(l.moved, request) }
+func (l *fakeLoop) MoveClient(request balance.RequestID) {
+	l.movedClients = append(l.movedClients, request)
+}
 
-// fakeSender hands messages to the test.
+// fakeSender is a Sender that passes messages to functions of the test.
 type fakeSender struct {
 	toPeer  func(to int, message budget.Message)
 	toChild func(to int, response budget.LeaseResponse)
@@ -49,7 +51,7 @@
 
 func (s fakeSender) SendToChild(to int, response budget.LeaseResponse) { s.toChild(to, response) }
 
-// flatConfig is that of the first of two nodes, as package node has it by default.
+// flatConfig returns the configuration of the first of two nodes, with the defaults of package node.
 func flatConfig(limits ...Limit) Config {
 	return Config{
 		Settings: balance.Config{NodeCount: 2, ConnectionCapacity: 1000, SlowStartMinCapacity: 0.5,
@@ -64,20 +66,21 @@
 	}
 }
 
-// childConfig is that of the first of two nodes below a control machine, parentConfig that of the control machine.
+// childConfig returns the configuration of the first of two nodes below a control machine.
 func childConfig(limits ...Limit) Config {
-	c := flatConfig(limits...)
-	c.Peers, c.Parents, c.GuaranteedFraction = nil, []string{"127.0.0.1:2"}, 0
-	return c
+	cfg := flatConfig(limits...)
+	cfg.Peers, cfg.Parents, cfg.GuaranteedFraction = nil, []string{"127.0.0.1:2"}, 0
+	return cfg
 }
 
+// parentConfig returns the configuration of a control machine above two nodes.
 func parentConfig(limits ...Limit) Config {
-	c := flatConfig(limits...)
-	c.Peers, c.ChildListen, c.GuaranteedFraction = []string{"127.0.0.1:2"}, "127.0.0.1:0", 0
-	return c
+	cfg := flatConfig(limits...)
+	cfg.Peers, cfg.ChildListen, cfg.GuaranteedFraction = []string{"127.0.0.1:2"}, "127.0.0.1:0", 0
+	return cfg
 }
 
-// newManager makes one on a clock of the test.
+// newManager returns a Manager whose uptime is controlled by the test.
 func newManager(cfg Config, uptime func() time.Duration) *Manager {
 	loop := &fakeLoop{epoch: time.Now(), uptime: uptime}
 	cfg.Epoch = loop.Now()
--- a/internal/control/parent_test.go
+++ b/internal/control/parent_test.go
@@ -5,176 +5,190 @@
 	"time"
 )
 
-// rested is the time after which nothing of an earlier start counts any more.
-const rested = 10 * time.Second
+// recoveryTime is longer than the time for which units used by an earlier process of a node still count.
+const recoveryTime = 10 * time.Second
 
-// Also where nodes keep their guaranteed parts for themselves, a node that needs it has half of the limit within a
-// second, as in a flat group.
-func TestHalfIsUsableWhereNodesKeepTheirParts(t *testing.T) {
+// Guards against units that no node can use if guaranteed parts are not delegated. A node below control machines that
+// needs units acquires at least half of the limit within a second, as in a flat group.
+func TestNodeAcquiresHalfOfUndelegatedLimit(t *testing.T) {
 	const limit = 60
-	f := newTree(t, 6, 3, func(c *Config) { c.Limits = []Limit{{Opens, limit}} })
-	f.run(rested, nil)
-	begun := f.now
-	f.run(4*time.Second, func() { f.want(f.nodes[1], Opens) })
-	if n := f.in(begun, begun+time.Second); n < limit/2 || f.peak() > limit {
-		t.Errorf("the node that wants has %d of %d in its first second, %d at the most", n, limit, f.peak())
+	tree := newNodeTree(t, 6, 3, func(c *Config) { c.Limits = []Limit{{Opens, limit}} })
+	tree.run(recoveryTime, nil)
+	start := tree.now
+	tree.run(4*time.Second, func() { tree.acquire(tree.nodes[1], Opens) })
+	if acquired := tree.acquiredBetween(start, start+time.Second); acquired < limit/2 || tree.peakPerSecond() > limit {
+		t.Errorf("the node acquired %d of %d units in its first second, at most %d in any second", acquired, limit,
+			tree.peakPerSecond())
 	}
 }
 
-// A node that alone wants something has more than half of the limit within a second, though its guaranteed part is a
-// twelfth; all nodes together never have more than the limit. A control machine's death, with all that was delegated to
-// it, costs its nodes the time to notice it, of 2.5 heartbeats, and no other node anything; they go back when it does.
-func TestNodesBelowControlMachines(t *testing.T) {
-	const limit, beat = 60, 400 * time.Millisecond
-	f := newTree(t, 6, 3, func(c *Config) { c.Limits = []Limit{{Retries, limit}} })
-	f.run(rested, nil)
-	needy := f.nodes[1]
-	begun := f.now
-	f.run(2*time.Second, func() { f.want(needy, Retries) })
-	if n := f.in(begun+time.Second, f.now); n < limit/2 || f.peak() > limit {
-		t.Errorf("the node that wants has %d of %d in a second, %d at the most", n, limit, f.peak())
-	}
-	everyone := func() { f.wantAll(Retries) }
-	f.run(3*time.Second, everyone)
-	leader := f.control[0].State().Leader
-	dies := f.control[(leader+1)%3] // another's death: that of the upper leader costs what it costs a flat group
-	for i, m := range f.nodes {
-		if f.control[i%3] == dies {
-			needy = m
+// Guards against a limit that is exceeded, or units that become unusable, when a control machine fails with all that
+// was delegated to it. A node that alone needs units acquires at least half of the limit per second, although its
+// guaranteed part is a twelfth. The nodes below the failed control machine lease units from another one after they have
+// detected the failure, which takes 2.5 heartbeat intervals, and follow it again after its restart. Nodes below other
+// control machines are not affected.
+func TestLimitHoldsWhenControlMachineFails(t *testing.T) {
+	const limit, heartbeatInterval = 60, 400 * time.Millisecond
+	tree := newNodeTree(t, 6, 3, func(c *Config) { c.Limits = []Limit{{Retries, limit}} })
+	tree.run(recoveryTime, nil)
+	busyNode := tree.nodes[1]
+	start := tree.now
+	tree.run(2*time.Second, func() { tree.acquire(busyNode, Retries) })
+	if acquired := tree.acquiredBetween(start+time.Second, tree.now); acquired < limit/2 ||
+		tree.peakPerSecond() > limit {
+		t.Errorf("the node acquired %d of %d units in a second, at most %d in any second", acquired, limit,
+			tree.peakPerSecond())
+	}
+	acquireAtAll := func() { tree.acquireAtAllNodes(Retries) }
+	tree.run(3*time.Second, acquireAtAll)
+	leader := tree.controlMachines[0].State().Leader
+	// Not the leader of the control machines: its failure has the same effect as in a flat group.
+	failing := tree.controlMachines[(leader+1)%3]
+	for i, m := range tree.nodes {
+		if tree.controlMachines[i%3] == failing {
+			busyNode = m
 		}
 	}
-	f.dead[dies] = true
-	died := f.now
-	before := needy.quotas.Counters.Leased
-	// The last answer may have come a moment before, and the next request goes with a heartbeat.
-	f.run(5*beat/2+beat, func() { f.want(needy, Retries) })
-	if needy.quotas.Counters.Leased == before {
-		t.Errorf("%v after its control machine died a node has nothing of another", f.now-died)
-	}
-	f.run(3*time.Second, everyone)
-	f.checkPeak(limit)
-	f.add(dies.cfg)
-	f.run(rested, everyone)
-	if s := needy.State(); s.Leader != 0 {
-		t.Errorf("follows number %d of its preference after the first is back", s.Leader)
-	}
-	f.checkPeak(limit)
+	tree.failed[failing] = true
+	failedAt := tree.now
+	leasedBefore := busyNode.member.Counters.Leased
+	// The last response may have arrived just before the failure, and the next request is sent with a heartbeat.
+	tree.run(5*heartbeatInterval/2+heartbeatInterval, func() { tree.acquire(busyNode, Retries) })
+	if busyNode.member.Counters.Leased == leasedBefore {
+		t.Errorf("%v after the failure of its control machine, a node has leased no units from another",
+			tree.now-failedAt)
+	}
+	tree.run(3*time.Second, acquireAtAll)
+	tree.checkPeak(limit)
+	tree.startProcess(failing.cfg)
+	tree.run(recoveryTime, acquireAtAll)
+	if state := busyNode.State(); state.Leader != 0 {
+		t.Errorf("node follows control machine %d of its list after the restart of the first, want 0", state.Leader)
+	}
+	tree.checkPeak(limit)
 }
 
-// A node whose control machines are replaced while it has grants and promises follows the new first one, and all nodes
-// together have never more than the limit. Guards against numbers that mean another machine than before.
-func TestControlMachinesAreReplaced(t *testing.T) {
+// Guards against an index that refers to another control machine after the list is replaced. Nodes whose control
+// machines are replaced while they hold grants and have delegated units follow the new first one, and all nodes
+// together never acquire more than the limit.
+func TestLimitHoldsWhenControlMachinesAreReplaced(t *testing.T) {
 	for name, change := range map[string]func(all []int) []int{
-		"turned round": func(all []int) []int { return []int{all[2], all[1], all[0]} },
-		"one goes":     func(all []int) []int { return all[1:] },
-		"one is left":  func(all []int) []int { return all[2:] },
+		"reversed":       func(all []int) []int { return []int{all[2], all[1], all[0]} },
+		"first removed":  func(all []int) []int { return all[1:] },
+		"only last left": func(all []int) []int { return all[2:] },
 	} {
-		t.Run(name, func(t *testing.T) { replaceControlMachines(t, change) })
+		t.Run(name, func(t *testing.T) { checkReplacedControlMachines(t, change) })
 	}
 }
 
-// wantInTurns has more wanted now by these nodes, now by those, so that quota is delegated and granted.
-func (f *tree) wantInTurns() func() {
+// rotatingDemand returns a function that acquires units at one or two nodes, which change over time, so that units are
+// delegated and granted.
+func (tree *nodeTree) rotatingDemand() func() {
 	turn := 0
 	return func() {
 		turn++
-		for i, m := range f.nodes {
+		for i, m := range tree.nodes {
 			if turn/100%6 == i || turn/40%6 == i {
-				f.want(m, Retries)
+				tree.acquire(m, Retries)
 			}
 		}
 	}
 }
 
-// restoreControlMachines has nodes that lack some of three follow all of them again.
-func (f *tree) restoreControlMachines() {
-	for i := range f.prefers {
-		if len(f.prefers[i]) < 3 {
-			f.prefer(i, []int{i % 3, (i + 1) % 3, (i + 2) % 3})
+// restoreControlMachines sets all three control machines again at nodes that have fewer.
+func (tree *nodeTree) restoreControlMachines() {
+	for i := range tree.preferences {
+		if len(tree.preferences[i]) < 3 {
+			tree.setControlMachines(i, []int{i % 3, (i + 1) % 3, (i + 2) % 3})
 		}
 	}
 }
 
-func replaceControlMachines(t *testing.T, change func(all []int) []int) {
+// checkReplacedControlMachines replaces the control machines of each node four times, with those that change returns.
+func checkReplacedControlMachines(t *testing.T, change func(all []int) []int) {
 	const limit = 60
-	f := newTree(t, 6, 3, func(c *Config) { c.Limits = []Limit{{Retries, limit}} })
-	f.run(rested, nil)
-	some := f.wantInTurns()
-	f.run(3*time.Second, some)
+	tree := newNodeTree(t, 6, 3, func(c *Config) { c.Limits = []Limit{{Retries, limit}} })
+	tree.run(recoveryTime, nil)
+	acquireInTurns := tree.rotatingDemand()
+	tree.run(3*time.Second, acquireInTurns)
 	for range 4 {
-		for i, m := range f.nodes {
-			f.prefer(i, change(f.prefers[i]))
-			if k := m.State().Leader; k != -1 {
-				t.Fatalf("follows number %d of a list of which none has answered", k)
+		for i, m := range tree.nodes {
+			tree.setControlMachines(i, change(tree.preferences[i]))
+			if leader := m.State().Leader; leader != -1 {
+				t.Fatalf("node follows control machine %d of a new list before any of it has responded", leader)
 			}
-			f.run(300*time.Millisecond, some)
+			tree.run(300*time.Millisecond, acquireInTurns)
 		}
-		f.restoreControlMachines()
-	}
-	begun := f.now
-	f.run(5*time.Second, some)
-	if peak, n := f.peak(), f.in(begun, f.now); peak > limit || n < 5*limit/2 {
-		t.Errorf("%d in a second, %d in the last 5 s, the limit is %d", peak, n, limit)
-	}
-	for i, m := range f.nodes {
-		if s := m.State(); s.Leader != 0 || m.quotas.Counters.Leased == 0 {
-			t.Errorf("node %d follows %d, had %d of grants", i, s.Leader, m.quotas.Counters.Leased)
+		tree.restoreControlMachines()
+	}
+	start := tree.now
+	tree.run(5*time.Second, acquireInTurns)
+	if peak, acquired := tree.peakPerSecond(), tree.acquiredBetween(start, tree.now); peak > limit ||
+		acquired < 5*limit/2 {
+		t.Errorf("at most %d units acquired in a second, %d in the last 5 s, the limit is %d", peak, acquired, limit)
+	}
+	for i, m := range tree.nodes {
+		if state := m.State(); state.Leader != 0 || m.member.Counters.Leased == 0 {
+			t.Errorf("node %d follows control machine %d and has used %d leased units, want machine 0 and some units",
+				i, state.Leader, m.member.Counters.Leased)
 		}
 	}
 }
 
-// A node that knew one control machine asks those that are added when that one dies.
-func TestControlMachinesAreAdded(t *testing.T) {
-	f := newTree(t, 2, 2, func(c *Config) {
+// Guards against a node that ignores a control machine added to its list. It has to follow that one when the only one
+// it had before fails.
+func TestNodeFollowsAddedControlMachine(t *testing.T) {
+	tree := newNodeTree(t, 2, 2, func(c *Config) {
 		if c.Limits = []Limit{{Retries, 60}}; !c.isControlMachine() {
 			c.Parents = c.Parents[:1]
 		}
 	})
-	f.prefers = [][]int{{0}, {0}}
-	f.run(rested, nil)
-	for i := range f.nodes {
-		f.prefer(i, []int{0, 1})
-	}
-	f.run(time.Second, nil)
-	f.dead[f.control[0]] = true
-	f.run(3*time.Second, nil)
-	for i, m := range f.nodes {
-		if s := m.State(); s.Leader != 1 {
-			t.Errorf("node %d follows %d", i, s.Leader)
+	tree.preferences = [][]int{{0}, {0}}
+	tree.run(recoveryTime, nil)
+	for i := range tree.nodes {
+		tree.setControlMachines(i, []int{0, 1})
+	}
+	tree.run(time.Second, nil)
+	tree.failed[tree.controlMachines[0]] = true
+	tree.run(3*time.Second, nil)
+	for i, m := range tree.nodes {
+		if state := m.State(); state.Leader != 1 {
+			t.Errorf("node %d follows control machine %d, want 1", i, state.Leader)
 		}
 	}
 }
 
-// An answer that is held back is due soon, though the control machine has nothing else to do before its next beat.
-func TestAnAnswerHeldBackIsDueSoon(t *testing.T) {
-	f := newTree(t, 1, 2, func(c *Config) { c.Limits = []Limit{{Retries, 60}} })
-	f.run(rested, nil)
-	leader := f.control[0].State().Leader
-	node, parent := f.nodes[0], f.control[1-leader]
+// Guards against a deferred response that is not sent before the next heartbeat of the control machine, because its
+// next tick was scheduled before the response was deferred.
+func TestDeferredResponseIsDueSoon(t *testing.T) {
+	tree := newNodeTree(t, 1, 2, func(c *Config) { c.Limits = []Limit{{Retries, 60}} })
+	tree.run(recoveryTime, nil)
+	leader := tree.controlMachines[0].State().Leader
+	node, parent := tree.nodes[0], tree.controlMachines[1-leader]
 	loop := parent.loop.(*fakeLoop)
-	f.prefer(0, []int{1 - leader, leader})
-	f.run(2*time.Second, nil)
-	f.dead[f.control[leader]] = true // it answers no more, and nobody has noticed
+	tree.setControlMachines(0, []int{1 - leader, leader})
+	tree.run(2*time.Second, nil)
+	tree.failed[tree.controlMachines[leader]] = true // the failure is not detected yet
 	for range 90 {
-		f.want(node, Retries)
-	}
-	for range 20 { // until what there is without the leader is given out
-		loop.wakes, parent.wakeAt = nil, 0
-		node.exchange()
-		sent := f.sent
-		f.sent = nil
-		for _, one := range sent {
-			one()
+		tree.acquire(node, Retries)
+	}
+	for range 20 { // until all units that are available without the leader are granted
+		loop.scheduledTicks, parent.nextTick = nil, 0
+		node.sendDueMessages()
+		messages := tree.inFlight
+		tree.inFlight = nil
+		for _, deliver := range messages {
+			deliver()
 		}
 		for range 16 {
-			f.want(node, Retries)
+			tree.acquire(node, Retries)
 		}
-		f.now += 20 * time.Millisecond
+		tree.now += 20 * time.Millisecond
 	}
-	if held := parent.parent.State(f.uptime(parent)).Deferred; held == 0 {
-		t.Fatal("no answer is held back")
+	if deferred := parent.parent.State(tree.uptimeOf(parent)).Deferred; deferred == 0 {
+		t.Fatal("no response is deferred")
 	}
-	if due := parent.wakeAt - loop.Now(); len(loop.wakes) == 0 || due > 50*time.Millisecond {
-		t.Errorf("%d timers, the next in %v", len(loop.wakes), due)
+	if delay := parent.nextTick - loop.Now(); len(loop.scheduledTicks) == 0 || delay > 50*time.Millisecond {
+		t.Errorf("%d ticks scheduled, the next in %v, want one within 50ms", len(loop.scheduledTicks), delay)
 	}
 }
--- a/internal/control/settings.go
+++ b/internal/control/settings.go
@@ -2,21 +2,22 @@
 
 import "brassmux/budget"
 
-// nodeSettings are for dividing quotas among the nodes, in a flat group or below control machines.
+// nodeSettings returns the settings with which quotas are divided among the nodes, in a flat group or below control
+// machines.
 func (c *Config) nodeSettings() budget.Settings {
 	settings := budget.Settings{
 		Nodes:              max(c.Settings.NodeCount, 1),
 		Index:              c.Settings.NodeIndex,
 		Parents:            len(c.Parents),
 		GuaranteedFraction: c.GuaranteedFraction,
-		MaxWindow:          max(c.Settings.OverloadWindow, rateWindow) + c.sendWithin(),
+		MaxWindow:          max(c.Settings.OverloadWindow, rateWindow) + c.maxSendDelay(),
 		LeaseTerm:          c.LeaseTerm,
 		HeartbeatInterval:  c.HeartbeatInterval,
 		MaxClockDrift:      c.MaxClockDrift,
 	}
 	for _, limit := range c.Limits {
 		if limit.Kind == ListCalls && limit.Units > 0 {
-			settings.MaxWindow = max(settings.MaxWindow, rateWindow+c.listCallWithin())
+			settings.MaxWindow = max(settings.MaxWindow, rateWindow+c.maxListCallDelay())
 		}
 	}
 	if len(c.Parents) > 0 || c.isControlMachine() {
@@ -25,7 +26,8 @@
 	return settings
 }
 
-// groupSettings are for dividing quotas in this node's group, which is all nodes or all control machines.
+// groupSettings returns the settings with which quotas are divided in this node's group, which consists of all nodes or
+// of all control machines.
 func (c *Config) groupSettings() budget.Settings {
 	settings := c.nodeSettings()
 	if c.isControlMachine() {
@@ -35,17 +37,18 @@
 	return settings
 }
 
-// budgetRule is how a limit is divided. Guaranteed units of what a node needs to serve at all are not delegated, so
-// that each node has them soon after all have restarted.
+// budgetRule returns the rule by which a limit is divided. Guaranteed units of a kind that a node needs to serve any
+// request are not delegated, so that each node has them available soon after a restart of all nodes.
 func (c *Config) budgetRule(limit Limit) budget.Rule {
-	division := budget.Rule{Limit: limit.Units, Window: rateWindow + c.sendWithin()}
+	quotaRule := budget.Rule{Limit: limit.Units, Window: rateWindow + c.maxSendDelay()}
 	switch limit.Kind {
 	case ListCalls:
-		division.Window, division.NoDelegation = rateWindow+c.listCallWithin(), true
+		quotaRule.Window, quotaRule.NoDelegation = rateWindow+c.maxListCallDelay(), true
 	case HealthChecks, Connects, Opens:
-		division.NoDelegation = true
-	case OpenConnections: // a connection ends once the client has closed it
-		division.Window, division.ConcurrencyLeaseTerm = c.ConnectionCloseDelay+c.sendWithin(), c.ConnectionLeaseTerm
+		quotaRule.NoDelegation = true
+	case OpenConnections: // a connection counts until the client has closed it
+		quotaRule.Window, quotaRule.ConcurrencyLeaseTerm =
+			c.ConnectionCloseDelay+c.maxSendDelay(), c.ConnectionLeaseTerm
 	}
-	return division
+	return quotaRule
 }
--- a/internal/control/sockets.go
+++ b/internal/control/sockets.go
@@ -10,7 +10,7 @@
 	"brassmux/internal/control/transport"
 )
 
-// Listen opens the sockets for messages. It fails where an address cannot be taken.
+// Listen opens the sockets for messages. It returns an error if an address cannot be bound.
 func (m *Manager) Listen() (err error) {
 	cfg := transport.Config{Listen: m.cfg.Listen, Peers: m.cfg.Peers, Index: m.cfg.Settings.NodeIndex,
 		RetryListen: m.cfg.RetryListen, SimulateLink: m.cfg.SimulateLink}
@@ -22,7 +22,7 @@
 	if m.peers, err = transport.New(cfg, m.log); err != nil {
 		return fmt.Errorf("config: peers.listen: %w", err)
 	}
-	m.SetSender(sockets{m})
+	m.SetSender(socketSender{m})
 	if m.parent == nil {
 		return nil
 	}
@@ -34,21 +34,21 @@
 	return nil
 }
 
-// SetSender replaces the sender of messages, which Listen sets to the sockets.
+// SetSender replaces the sender of messages. Listen sets one that uses the sockets.
 func (m *Manager) SetSender(sender Sender) { m.sender = sender }
 
-// Addr returns this node's address for messages; nil while another process of the node has it.
+// Addr returns this node's address for messages, or nil while another process of the node uses it.
 func (m *Manager) Addr() net.Addr { return m.peers.Addr() }
 
-// ChildAddr returns a control machine's address for messages of its children; nil while another process has it.
+// ChildAddr returns a control machine's address for messages from its children, or nil while another process uses it.
 func (m *Manager) ChildAddr() net.Addr { return m.children.Addr() }
 
-// SetPeers replaces the addresses of the group's members, or of a node's control machines, by as many others. On an
-// error the former ones stay.
+// SetPeers replaces the addresses of the members of the group or, below control machines, of the control machines. The
+// number of addresses must not change. If an address is invalid, SetPeers returns an error and changes none.
 func (m *Manager) SetPeers(addrs []string) error { return m.peers.SetPeers(addrs) }
 
-// Serve sends and receives messages until ctx ends. While the loop's queue is full, messages are dropped, as by the
-// network. It is called from a goroutine of its own.
+// Serve sends and receives messages until ctx is done. Messages received while the loop's queue is full are dropped.
+// Serve blocks and has to be called in a separate goroutine.
 func (m *Manager) Serve(ctx context.Context) {
 	if m.parent != nil {
 		go m.serveConn(ctx, m.children, m.HandleChildMessage)
@@ -72,34 +72,36 @@
 	})
 }
 
-// sockets sends messages over the node's sockets.
-type sockets struct{ m *Manager }
+// socketSender sends messages over the node's sockets.
+type socketSender struct{ manager *Manager }
 
-// SendToPeer is part of Sender.
-func (s sockets) SendToPeer(to int, message budget.Message) { s.m.peers.Send(to, message) }
+// SendToPeer implements Sender.
+func (s socketSender) SendToPeer(to int, message budget.Message) { s.manager.peers.Send(to, message) }
 
-// SendToChild sends a response to the incarnation of a child that it is for, where that has sent from.
-func (s sockets) SendToChild(to int, response budget.LeaseResponse) {
-	for _, child := range s.m.addrs[to] {
+// SendToChild sends a response to the incarnation of a child to which it belongs, at the address from which that
+// incarnation last sent.
+func (s socketSender) SendToChild(to int, response budget.LeaseResponse) {
+	for _, child := range s.manager.childAddrs[to] {
 		if child.incarnation == response.Follower && child.addr.IsValid() {
-			s.m.children.SendTo(child.addr, response)
+			s.manager.children.SendTo(child.addr, response)
 		}
 	}
 }
 
-// childAddresses are those of a child's two latest incarnations, the latest first: of two processes under one number
-// each gets the responses to its own requests.
+// childAddresses are the addresses of a child's two latest incarnations, the latest first. If two processes use the
+// same index, each receives the responses to its own requests.
 type childAddresses [2]struct {
 	incarnation uint64
 	addr        netip.AddrPort
 }
 
-// noteChildAddress remembers where a child sends from. The transport has checked its number, which bounds the memory.
-func (m *Manager) noteChildAddress(number int, incarnation uint64, addr netip.AddrPort) {
-	child := m.addrs[number]
+// recordChildAddress records the address from which a child sends. Package transport has checked the index, which
+// bounds the number of records.
+func (m *Manager) recordChildAddress(index int, incarnation uint64, addr netip.AddrPort) {
+	child := m.childAddrs[index]
 	if child[0].incarnation != incarnation {
 		child[1], child[0].incarnation = child[0], incarnation
 	}
 	child[0].addr = addr
-	m.addrs[number] = child
+	m.childAddrs[index] = child
 }
--- a/internal/control/tree_test.go
+++ b/internal/control/tree_test.go
@@ -10,178 +10,183 @@
 	"brassmux/budget"
 )
 
-// tree is nodes below control machines, each with its manager on one clock that the test moves, with a network that it
-// can cut.
-type tree struct {
-	t       *testing.T
-	now     time.Duration
-	nodes   []*Manager
-	control []*Manager
-	prefers [][]int // control machines by node, the first one first
-	dead    map[*Manager]bool
-	sent    []func()
-	spent   []time.Duration // units of the quota, at all nodes
+// nodeTree simulates nodes below control machines. All managers share a clock that the test advances, and a network on
+// which processes can be made to fail.
+type nodeTree struct {
+	t               *testing.T
+	now             time.Duration
+	nodes           []*Manager
+	controlMachines []*Manager
+	preferences     [][]int // by node: indexes of its control machines in order of preference
+	failed          map[*Manager]bool
+	inFlight        []func()        // each delivers a message
+	acquiredAt      []time.Duration // time of each unit acquired, at all nodes
 }
 
-const step = 5 * time.Millisecond
+// stepInterval is the time by which run advances the clock in each step.
+const stepInterval = 5 * time.Millisecond
 
-func newTree(t *testing.T, nodes, control int, change func(c *Config)) *tree {
-	f := &tree{t: t, dead: map[*Manager]bool{}}
+// newNodeTree starts nodes and control machines. change modifies the configuration of each of them.
+func newNodeTree(t *testing.T, nodeCount, controlMachineCount int, change func(c *Config)) *nodeTree {
+	tree := &nodeTree{t: t, failed: map[*Manager]bool{}}
 	var addrs []string
-	for i := range control {
+	for i := range controlMachineCount {
 		addrs = append(addrs, fmt.Sprintf("127.0.0.1:%d", 2+i))
 	}
-	for i := range nodes {
-		var all []int
-		for k := range control {
-			all = append(all, (i+k)%control)
+	for i := range nodeCount {
+		var preference []int
+		for k := range controlMachineCount {
+			preference = append(preference, (i+k)%controlMachineCount)
 		}
-		f.prefers = append(f.prefers, all)
+		tree.preferences = append(tree.preferences, preference)
 	}
-	for i := range nodes + control {
-		c := flatConfig()
-		c.Settings.NodeCount, c.MaxChildren = nodes, nodes
-		if i < nodes {
-			c.Settings.NodeIndex, c.Peers, c.Parents = i, nil, addrs
+	for i := range nodeCount + controlMachineCount {
+		cfg := flatConfig()
+		cfg.Settings.NodeCount, cfg.MaxChildren = nodeCount, nodeCount
+		if i < nodeCount {
+			cfg.Settings.NodeIndex, cfg.Peers, cfg.Parents = i, nil, addrs
 		} else {
-			c.Peers, c.ChildListen, c.ControlIndex = addrs, "127.0.0.1:0", i-nodes
+			cfg.Peers, cfg.ChildListen, cfg.ControlIndex = addrs, "127.0.0.1:0", i-nodeCount
 		}
-		change(&c)
-		f.add(c)
+		change(&cfg)
+		tree.startProcess(cfg)
 	}
-	return f
+	return tree
 }
 
-// add puts a start of a process in its place.
-func (f *tree) add(c Config) {
-	born := f.now
-	m := newManager(c, func() time.Duration { return f.now - born })
+// startProcess starts a process and replaces the earlier process of the same node, if there is one.
+func (tree *nodeTree) startProcess(cfg Config) {
+	startedAt := tree.now
+	m := newManager(cfg, func() time.Duration { return tree.now - startedAt })
 	if m.parent == nil {
-		f.nodes = place(f.nodes, c.Settings.NodeIndex, m)
+		tree.nodes = setAt(tree.nodes, cfg.Settings.NodeIndex, m)
 	} else {
-		f.control = place(f.control, c.ControlIndex, m)
+		tree.controlMachines = setAt(tree.controlMachines, cfg.ControlIndex, m)
 	}
-	f.connect(m)
+	tree.connectSender(m)
 }
 
-func place(all []*Manager, i int, m *Manager) []*Manager {
-	if i < len(all) {
-		all[i] = m
-		return all
+// setAt replaces the manager with index i, or appends m if there is none.
+func setAt(managers []*Manager, i int, m *Manager) []*Manager {
+	if i < len(managers) {
+		managers[i] = m
+		return managers
 	}
-	return append(all, m)
+	return append(managers, m)
 }
 
-// connect has a manager send over the network of the test.
-func (f *tree) connect(m *Manager) {
+// connectSender makes a manager send its messages over the simulated network.
+func (tree *nodeTree) connectSender(m *Manager) {
 	if m.parent == nil {
-		m.SetSender(f.senderOfNode(m, m.cfg.Settings.NodeIndex))
+		m.SetSender(tree.nodeSender(m, m.cfg.Settings.NodeIndex))
 	} else {
-		m.SetSender(f.senderOfParent(m, m.cfg.ControlIndex))
+		m.SetSender(tree.controlMachineSender(m, m.cfg.ControlIndex))
 	}
 }
 
-func (f *tree) senderOfNode(m *Manager, i int) fakeSender {
+func (tree *nodeTree) nodeSender(m *Manager, index int) fakeSender {
 	return fakeSender{toPeer: func(to int, message budget.Message) {
-		if to >= len(f.prefers[i]) {
-			f.t.Errorf("node %d asks number %d of %d", i, to, len(f.prefers[i]))
+		if to >= len(tree.preferences[index]) {
+			tree.t.Errorf("node %d sends to control machine %d of its %d", index, to, len(tree.preferences[index]))
 			return
 		}
-		at := f.prefers[i][to]
-		f.send(m, func() *Manager { return f.control[at] },
-			func(m *Manager) { m.HandleChildMessage(i, netip.AddrPort{}, message) })
+		target := tree.preferences[index][to]
+		tree.send(m, func() *Manager { return tree.controlMachines[target] },
+			func(m *Manager) { m.HandleChildMessage(index, netip.AddrPort{}, message) })
 	}}
 }
 
-func (f *tree) senderOfParent(m *Manager, i int) fakeSender {
+func (tree *nodeTree) controlMachineSender(m *Manager, index int) fakeSender {
 	return fakeSender{toPeer: func(to int, message budget.Message) {
-		f.send(m, func() *Manager { return f.control[to] }, func(m *Manager) { m.HandlePeerMessage(i, message) })
+		tree.send(m, func() *Manager { return tree.controlMachines[to] },
+			func(m *Manager) { m.HandlePeerMessage(index, message) })
 	}, toChild: func(to int, message budget.LeaseResponse) {
-		f.send(m, func() *Manager { return f.nodes[to] }, func(m *Manager) {
-			if from := slices.Index(f.prefers[to], i); from >= 0 { // else from an unknown address
+		tree.send(m, func() *Manager { return tree.nodes[to] }, func(m *Manager) {
+			if from := slices.Index(tree.preferences[to], index); from >= 0 { // otherwise the address is unknown
 				m.HandlePeerMessage(from, message)
 			}
 		})
 	}}
 }
 
-// prefer has a node follow other control machines, in its order of preference.
-func (f *tree) prefer(node int, control []int) {
-	f.prefers[node] = control
-	m := f.nodes[node]
-	m.quotas.ReplaceParents(f.uptime(m), len(control))
+// setControlMachines replaces the control machines of the node with an index, in order of preference.
+func (tree *nodeTree) setControlMachines(index int, preference []int) {
+	tree.preferences[index] = preference
+	m := tree.nodes[index]
+	m.member.ReplaceParents(tree.uptimeOf(m), len(preference))
 }
 
-func (f *tree) send(from *Manager, to func() *Manager, handle func(*Manager)) {
-	f.sent = append(f.sent, func() {
-		if m := to(); !f.dead[from] && !f.dead[m] {
+// send queues a message. It is lost if the sender or the receiver has failed when it is delivered.
+func (tree *nodeTree) send(from *Manager, to func() *Manager, handle func(*Manager)) {
+	tree.inFlight = append(tree.inFlight, func() {
+		if m := to(); !tree.failed[from] && !tree.failed[m] {
 			handle(m)
 		}
 	})
 }
 
-// run goes on for a while; before each step, what is to be done is done.
-func (f *tree) run(d time.Duration, do func()) {
-	for end := f.now + d; f.now < end; f.now += step {
-		if do != nil {
-			do()
+// run advances the clock in steps. In each step it calls beforeStep, and then exchanges all due messages.
+func (tree *nodeTree) run(duration time.Duration, beforeStep func()) {
+	for end := tree.now + duration; tree.now < end; tree.now += stepInterval {
+		if beforeStep != nil {
+			beforeStep()
 		}
-		for _, m := range append(slices.Clone(f.nodes), f.control...) {
-			if !f.dead[m] {
-				m.exchange()
+		for _, m := range append(slices.Clone(tree.nodes), tree.controlMachines...) {
+			if !tree.failed[m] {
+				m.sendDueMessages()
 			}
 		}
-		for len(f.sent) > 0 {
-			sent := f.sent
-			f.sent = nil
-			for _, one := range sent {
-				one()
+		for len(tree.inFlight) > 0 {
+			messages := tree.inFlight
+			tree.inFlight = nil
+			for _, deliver := range messages {
+				deliver()
 			}
 		}
 	}
 }
 
-// want has a node want a unit.
-func (f *tree) want(m *Manager, kind Kind) {
-	if !f.dead[m] {
+// acquire acquires a unit at a node, unless the node has failed, and records the time when it succeeds.
+func (tree *nodeTree) acquire(m *Manager, kind Kind) {
+	if !tree.failed[m] {
 		m.Acquire(kind, 7, quotaWait, func(ok bool) {
 			if ok {
-				f.spent = append(f.spent, f.now)
+				tree.acquiredAt = append(tree.acquiredAt, tree.now)
 			}
 		})
 	}
 }
 
-// in counts the units that were spent between two times.
-func (f *tree) in(from, to time.Duration) (n int) {
-	for _, at := range f.spent {
+// acquiredBetween returns the number of units acquired in the interval [from, to).
+func (tree *nodeTree) acquiredBetween(from, to time.Duration) (count int) {
+	for _, at := range tree.acquiredAt {
 		if at >= from && at < to {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// peak is the most in any second.
-func (f *tree) peak() (peak int) {
-	for _, at := range f.spent {
-		peak = max(peak, f.in(at, at+time.Second))
+// peakPerSecond returns the maximum number of units acquired in any second.
+func (tree *nodeTree) peakPerSecond() (peak int) {
+	for _, at := range tree.acquiredAt {
+		peak = max(peak, tree.acquiredBetween(at, at+time.Second))
 	}
 	return peak
 }
 
-func (f *tree) checkPeak(limit int) {
-	f.t.Helper()
-	if n := f.peak(); n > limit {
-		f.t.Errorf("%d of %d were spent in a second", n, limit)
+func (tree *nodeTree) checkPeak(limit int) {
+	tree.t.Helper()
+	if peak := tree.peakPerSecond(); peak > limit {
+		tree.t.Errorf("%d units acquired in a second, the limit is %d", peak, limit)
 	}
 }
 
-// wantAll has each node want a unit.
-func (f *tree) wantAll(kind Kind) {
-	for _, m := range f.nodes {
-		f.want(m, kind)
+// acquireAtAllNodes acquires a unit at each node.
+func (tree *nodeTree) acquireAtAllNodes(kind Kind) {
+	for _, m := range tree.nodes {
+		tree.acquire(m, kind)
 	}
 }
 
-func (f *tree) uptime(m *Manager) time.Duration { return m.loop.Uptime() }
+func (tree *nodeTree) uptimeOf(m *Manager) time.Duration { return m.loop.Uptime() }
