--- a/balance/api.go
+++ b/balance/api.go
@@ -136,14 +136,14 @@
 	Take(ServerID) bool
 }
 
-// NotifiedNodesFraction is the part of WarmServerLimit that the nodes notified of a server's start may use
-// where others may not have been notified: those treat it as warm, and the limit has to hold for the sum of
-// both.
+// NotifiedNodesFraction is the part of WarmServerAttemptLimit that the nodes notified of a server's start may
+// use where others may not have been notified: those treat it as warm, and the limit has to hold for the sum
+// of both.
 const NotifiedNodesFraction = 2.0 / 3
 
-// WarmServerLimit returns the number of attempts from all nodes together in one OverloadWindow that a warm
-// server is sure to bear, when readyServers servers share the connections.
-func (c Config) WarmServerLimit(readyServers int) float64 {
+// WarmServerAttemptLimit returns the number of attempts from all nodes together in one OverloadWindow that a
+// warm server is sure to bear, when readyServers servers share the connections.
+func (c Config) WarmServerAttemptLimit(readyServers int) float64 {
 	return c.ConnectionCapacity / c.SlowStartWindow.Seconds() * c.OverloadFactor *
 		c.OverloadWindow.Seconds() /
 		float64(max(readyServers, 1))
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -101,7 +101,7 @@
 	case EndpointUpdate:
 		b.handleEndpointUpdate(ev)
 	case ClockOffset:
-		b.startTimes.observeClock(ev.Ahead, ev.ReferenceSeen)
+		b.startTimes.observeClock(ev.Ahead, ev.ReferenceRead)
 	case Request:
 		b.place(b.admit(ev))
 	case ExistingConnection:
--- a/balance/clock_test.go
+++ b/balance/clock_test.go
@@ -25,7 +25,7 @@
 			config.ClockUntrusted, config.NodeCount, config.ConnectionCapacity = true, c.nodes, c.quota
 			servers := readyServers(1, 2, 3, 4)
 			total := sentAfterLateNews(config, servers, c.late)
-			whole := config.WarmServerLimit(len(servers))
+			whole := config.WarmServerAttemptLimit(len(servers))
 			minimum, age := config.SlowStartMinCapacity,
 				min(c.late.Seconds()/config.SlowStartWindow.Seconds(), 1)
 			young, old := whole*minimum, whole*(minimum+(1-minimum)*age)
@@ -78,7 +78,7 @@
 		t.Errorf("after a start that was heard of within 3 s: %v ago, not 3 s less than by the clock",
 			n.now-got)
 	}
-	n.handle(ClockOffset{ReferenceSeen: true})
+	n.handle(ClockOffset{ReferenceRead: true})
 	if got := n.LatestStart(2); got != two.StartedAt {
 		t.Errorf("with a clock seen: %v ago, not by the clock", n.now-got)
 	}
@@ -102,7 +102,7 @@
 		n.handle(EndpointUpdate{Kind: ListCached, Servers: servers})
 		n.now += config.OverloadWindow
 		if c.sure {
-			n.handle(ClockOffset{ReferenceSeen: true})
+			n.handle(ClockOffset{ReferenceRead: true})
 		}
 		refused, fourth := 0, 0
 		for i := range 400 {
--- a/balance/events.go
+++ b/balance/events.go
@@ -50,9 +50,9 @@
 // largest offset counts.
 type ClockOffset struct {
 	Ahead time.Duration
-	// ReferenceSeen tells that the other clock was read; otherwise it is only known that this node's was
+	// ReferenceRead tells that the other clock was read; otherwise it is only known that this node's was
 	// wrong.
-	ReferenceSeen bool
+	ReferenceRead bool
 }
 
 // ExistingConnection is a connection that was established before this process started; its attempt has number
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -16,9 +16,9 @@
 	}
 }
 
-// ExcludedServers returns the number of listed servers that get no new connections now: draining and ejected
-// ones.
-func (b *Balancer) ExcludedServers(now time.Duration) (n int) {
+// ExcludedServerCount returns the number of listed servers that get no new connections now: draining and
+// ejected ones.
+func (b *Balancer) ExcludedServerCount(now time.Duration) (n int) {
 	for _, s := range b.servers {
 		if s.State == Draining || s.State == Ready && now < s.ejectedUntil {
 			n++
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -194,7 +194,7 @@
 		now = n.now + 50*ms
 	}
 	age := now - started.StartedAt
-	whole := config.WarmServerLimit(len(servers)) * (config.SlowStartMinCapacity +
+	whole := config.WarmServerAttemptLimit(len(servers)) * (config.SlowStartMinCapacity +
 		(1-config.SlowStartMinCapacity)*age.Seconds()/config.SlowStartWindow.Seconds())
 	if float64(sent) > whole+1 {
 		t.Errorf("%d sent within a window, %.1f is the most", sent, whole+1)
--- a/balance/state_test.go
+++ b/balance/state_test.go
@@ -87,7 +87,7 @@
 	if _, s := next.establish("safe", "client"); s != home {
 		t.Errorf("the client goes to %d, not %d", s, home)
 	}
-	if got := next.ExcludedServers(next.now); got != 1 {
+	if got := next.ExcludedServerCount(next.now); got != 1 {
 		t.Errorf("%d servers avoided", got)
 	}
 	for i := range 50 {
@@ -179,10 +179,10 @@
 	if _, s := next.establish("safe", "client"); s != home {
 		t.Errorf("the client goes to %d, not %d", s, home)
 	}
-	if got := next.ExcludedServers(next.now); got != 1 {
+	if got := next.ExcludedServerCount(next.now); got != 1 {
 		t.Errorf("%d servers ejected, not 1", got)
 	}
-	if next.now += freshnessWindow + time.Millisecond; next.ExcludedServers(next.now) != 0 {
+	if next.now += freshnessWindow + time.Millisecond; next.ExcludedServerCount(next.now) != 0 {
 		t.Error("a server is ejected for longer than by the process before")
 	}
 	if !next.inSlowStart(next.servers[4]) {
--- a/balance/stream_test.go
+++ b/balance/stream_test.go
@@ -120,7 +120,7 @@
 	s := &stream{config: config, rng: rand.New(rand.NewPCG(seed, 52)), now: time.Hour, servers: servers,
 		out:   out,
 		kinds: map[string]int{}}
-	fmt.Fprintln(out, config.WarmServerLimit(servers))
+	fmt.Fprintln(out, config.WarmServerAttemptLimit(servers))
 	for i := range min(config.NodeCount, 3) {
 		config.NodeIndex = i
 		s.nodes = append(s.nodes, New(config, seed*10+uint64(i)))
@@ -302,7 +302,7 @@
 		s.handle(node, opened)
 	case draw < 97:
 		s.handle(node, ClockOffset{Ahead: time.Duration(s.rng.IntN(400)) * ms,
-			ReferenceSeen: s.rng.IntN(3) == 0})
+			ReferenceRead: s.rng.IntN(3) == 0})
 	case draw < 98:
 		s.handle(node, ShutdownAnnounced{Server: id * ServerID(min(s.rng.IntN(6), 1))})
 	case draw < 99:
@@ -338,7 +338,7 @@
 	for id := range ServerID(s.servers) {
 		fmt.Fprintf(s.out, "start %d %d\n", id, s.nodes[node].LatestStart(id))
 	}
-	fmt.Fprintf(s.out, "avoided %d\n", s.nodes[node].ExcludedServers(s.now))
+	fmt.Fprintf(s.out, "avoided %d\n", s.nodes[node].ExcludedServerCount(s.now))
 }
 
 // streamDigest plays one stream, and counts the kinds of its actions.
--- a/internal/control/slowstart.go
+++ b/internal/control/slowstart.go
@@ -111,7 +111,7 @@
 	}
 	m.slowStart.quotas[id] = quota
 	delete(m.slowStart.dropAt, quota)
-	rampLimit, baseLimit := settings.WarmServerLimit(ready), 1
+	rampLimit, baseLimit := settings.WarmServerAttemptLimit(ready), 1
 	if m.slowStart.firstStart[id] != start { // it has restarted, which other nodes may not know yet
 		rampLimit, baseLimit = rampLimit*balance.NotifiedNodesFraction, 0
 	}
--- a/lab/fleet/leases.go
+++ b/lab/fleet/leases.go
@@ -112,7 +112,7 @@
 		l.member.Drop(l.budgetID(id))
 		return
 	}
-	limit, baseLimit := l.config.WarmServerLimit(len(l.readySince)), 1
+	limit, baseLimit := l.config.WarmServerAttemptLimit(len(l.readySince)), 1
 	if l.firstStart[id] != startedAt { // it restarted under its ID, and nodes that know only its old start send too
 		limit, baseLimit = limit*balance.NotifiedNodesFraction, 0
 	}
--- a/node/clock.go
+++ b/node/clock.go
@@ -73,6 +73,6 @@
 		l.log.Warn("clock may be ahead", zap.Duration("lead", lead), zap.Bool("observed_at_discovery", observed))
 	}
 	l.clockLead, l.clockLeadSeen = max(l.clockLead, lead), l.clockLeadSeen || observed
-	l.handle(balance.ClockOffset{Ahead: l.clockLead, ReferenceSeen: l.clockLeadSeen})
+	l.handle(balance.ClockOffset{Ahead: l.clockLead, ReferenceRead: l.clockLeadSeen})
 	l.control.UpdateLimits()
 }
--- a/node/gauges.go
+++ b/node/gauges.go
@@ -16,7 +16,7 @@
 
 func (l *loop) updateGauges() {
 	l.gauges.knownServers.Store(int64(len(l.servers)))
-	l.gauges.excludedServers.Store(int64(l.balancer.ExcludedServers(l.now())))
+	l.gauges.excludedServers.Store(int64(l.balancer.ExcludedServerCount(l.now())))
 }
 
 // loopCounters count the outcomes of requests and messages.
