--- a/budget/api.go
+++ b/budget/api.go
@@ -175,7 +175,7 @@
 	Sent             int64 // messages
 	Stale            int64 // responses that are late, repeated, or to no request of this incarnation
 	Unknown          int64 // messages of a kind or from an index that this group does not have
-	DuplicateIDs     int64 // responses that tell of another incarnation with this index
+	DuplicateIndexes int64 // responses that tell of another incarnation with this index
 	LeaderChanges    int64
 }
 
--- a/budget/bench_test.go
+++ b/budget/bench_test.go
@@ -37,7 +37,7 @@
 	n := &r.nodes[from]
 	n.seq++
 	request = LeaseRequest{Incarnation: uint64(1000 + from), Seq: n.seq, LeaderClock: n.leaderClock, Leader: n.leader,
-		DelegatesRest: true, Releases: n.releases, Wanted: []Amount{{ID: requestedID(r.next), Units: 1}}}
+		DelegatesUnlisted: true, Releases: n.releases, Wanted: []Amount{{ID: requestedID(r.next), Units: 1}}}
 	for i := range 10 {
 		request.Delegated = append(request.Delegated, Amount{ID: requestedID(from + i), Units: 1})
 	}
--- a/budget/follower.go
+++ b/budget/follower.go
@@ -179,12 +179,12 @@
 	}
 	f.sweep()
 	inUse, maxNamed := f.delegatedInUse(), MaxEntries
-	if request.DelegatesRest = request.Leader != 0 && inUse <= MaxEntries/2; request.DelegatesRest {
+	if request.DelegatesUnlisted = request.Leader != 0 && inUse <= MaxEntries/2; request.DelegatesUnlisted {
 		maxNamed -= inUse
 	}
 	f.addWanted(&request)
 	f.addDelegated(&request, boundUntil, maxNamed)
-	if request.DelegatesRest {
+	if request.DelegatesUnlisted {
 		f.restDelegatedUntil = max(f.restDelegatedUntil, boundUntil)
 	}
 	if f.leaving {
@@ -220,7 +220,7 @@
 		a := f.account(id)
 		isFull := len(request.Delegated) >= maxNamed
 		if a.rule != nil {
-			isFull = !request.DelegatesRest
+			isFull = !request.DelegatesUnlisted
 		}
 		if request.Leader == 0 || !a.isDelegated() || isFull {
 			continue
@@ -318,8 +318,8 @@
 	}
 	before := f.contacts[from]
 	f.updateContact(from, response)
-	if response.DuplicateID {
-		f.counters.DuplicateIDs++
+	if response.DuplicateIndex {
+		f.counters.DuplicateIndexes++
 		f.noReservationUntil = max(f.noReservationUntil, f.now+f.settings.RecoveryDelay())
 	}
 	isFirst := f.leaderIndex < 0
@@ -339,7 +339,7 @@
 // acceptGrants takes in the grants of a response. Their term runs from the request, which was before the grant.
 func (f *follower) acceptGrants(request pendingRequest, response *LeaseResponse, before leaderContact) {
 	isLatest := response.Seq > f.acknowledged
-	f.renewConcurrencyHeld(request, response.RenewsHeld, isLatest)
+	f.renewConcurrencyHeld(request, response.RenewsConcurrencyLeases, isLatest)
 	for _, g := range response.Grants {
 		// The leader was told by a later request that an earlier response did not come.
 		isAccepted := isLatest || f.fault == faultLateConcurrencyGrants
--- a/budget/follower_test.go
+++ b/budget/follower_test.go
@@ -138,7 +138,7 @@
 		t.Errorf("%d used in a window of an index that has two reserved", got)
 	}
 	first, second := &w.nodes[0].member.Counters, &w.nodes[1].member.Counters
-	if second.DuplicateIDs == 0 || first.Reserved == 0 {
+	if second.DuplicateIndexes == 0 || first.Reserved == 0 {
 		t.Errorf("%+v %+v", *first, *second)
 	}
 }
--- a/budget/golden_test.go
+++ b/budget/golden_test.go
@@ -25,7 +25,7 @@
 	return map[string]Message{
 		"request none": LeaseRequest{},
 		"request all": LeaseRequest{Incarnation: 11, Seq: 1 << 40, LeaderClock: -5, Leader: 1<<64 - 1,
-			Delegated: []Amount{{ID: id, Units: 4}, {Units: -1}}, DelegatesRest: true,
+			Delegated: []Amount{{ID: id, Units: 4}, {Units: -1}}, DelegatesUnlisted: true,
 			ConcurrencyHeld: []Amount{{ID: id, Units: 70000}}, Acknowledged: 77,
 			Wanted:   []Amount{{ID: id, Units: 2}, {ID: ID{Kind: 1}, Units: 3}},
 			Releases: []Release{{Grant: 8, Used: 2, SinceUse: 1 << 33}, {Grant: 1 << 50}}, ReleasesTo: 21,
@@ -35,12 +35,12 @@
 			Releases: []Release{{Grant: 8, Used: 1, SinceUse: 3}}, Delegated: []Amount{}},
 		"response none": LeaseResponse{},
 		"response all": LeaseResponse{Incarnation: 12, Seq: 1 << 40, LeaderClock: 1 << 60, Follower: 11,
-			RenewsHeld: true, Grants: []Grant{{ID: id, Units: 4, Number: 1 << 50},
+			RenewsConcurrencyLeases: true, Grants: []Grant{{ID: id, Units: 4, Number: 1 << 50},
 				{ID: ID{Kind: 1, Subject: 2, Since: 3}, Units: 16}},
-			HasQuorum: true, DuplicateID: true},
+			HasQuorum: true, DuplicateIndex: true},
 		"response leaving": LeaseResponse{Incarnation: 12, Follower: 11, GrantsExpireIn: 1 << 31, Leaving: true},
 		"response duplicate": LeaseResponse{Incarnation: 12, Seq: 3, Follower: 1 << 60, LeaderClock: 17,
-			DuplicateID: true, Grants: []Grant{}},
+			DuplicateIndex: true, Grants: []Grant{}},
 	}
 }
 
@@ -290,13 +290,13 @@
 	for i, b := range r.members {
 		s, c := b.State(r.clock(i)), b.Counters
 		r.log("state", s.Leader, s.HasQuorum, s.Followers, s.Recovering, int64(b.MaxWindow()),
-			c.Reserved, c.Leased, c.Denied, c.Granted, c.Expired, c.Sent, c.Stale, c.Unknown, c.DuplicateIDs,
+			c.Reserved, c.Leased, c.Denied, c.Granted, c.Expired, c.Sent, c.Stale, c.Unknown, c.DuplicateIndexes,
 			c.LeaderChanges)
 	}
 	for i, p := range r.uppers {
 		s, c := p.State(r.clock(i)), p.Counters
 		r.log("state above", s.Children, s.Deferred, s.Group.Leader, c.Requests, c.Deferred, c.FromChildren,
-			c.FromGroup, c.Unknown, c.DeferralsFull)
+			c.FromGroup, c.Unknown, c.DeferralOverflows)
 	}
 	return hex.EncodeToString(sum.Sum(nil)), r.lines
 }
@@ -314,8 +314,8 @@
 	switch m := message.(type) {
 	case LeaseRequest:
 		text := fmt.Sprintln(false, m.Incarnation, m.Seq, int64(m.LeaderClock), m.Leader, m.Leaving)
-		text += fmt.Sprint(recordedAmounts(m.Delegated), "|", m.DelegatesRest, recordedAmounts(m.ConcurrencyHeld), "|",
-			m.Acknowledged, recordedAmounts(m.Wanted), "|", m.ReleasesTo)
+		text += fmt.Sprint(recordedAmounts(m.Delegated), "|", m.DelegatesUnlisted,
+			recordedAmounts(m.ConcurrencyHeld), "|", m.Acknowledged, recordedAmounts(m.Wanted), "|", m.ReleasesTo)
 		// In the order of their numbers: in a message they have that of a map.
 		inOrder := func(x, y Release) int { return cmp.Compare(x.Grant, y.Grant) }
 		for _, d := range slices.SortedFunc(slices.Values(m.Releases), inOrder) {
@@ -328,7 +328,7 @@
 			stamp = int64(m.GrantsExpireIn)
 		}
 		text := fmt.Sprintln(true, m.Incarnation, m.Seq, stamp, m.Follower, m.Leaving)
-		text += fmt.Sprint(m.RenewsHeld, m.HasQuorum, m.DuplicateID)
+		text += fmt.Sprint(m.RenewsConcurrencyLeases, m.HasQuorum, m.DuplicateIndex)
 		for _, g := range m.Grants {
 			text += fmt.Sprint(" ", recordedID(g.ID), "*", g.Units, ":", g.Number)
 		}
--- a/budget/leader.go
+++ b/budget/leader.go
@@ -49,7 +49,7 @@
 	hasQuorum := l.hasQuorum()
 	if isCurrent {
 		l.renewConcurrencyLeases(from, request)
-		response.RenewsHeld = hasQuorum
+		response.RenewsConcurrencyLeases = hasQuorum
 	}
 	for _, wanted := range request.Wanted {
 		if a := l.account(wanted.ID); a != nil && a.isConcurrencyLimit() {
@@ -90,7 +90,7 @@
 		}
 	}
 	return LeaseResponse{Incarnation: l.incarnation, Seq: request.Seq, LeaderClock: l.now,
-		Follower: request.Incarnation, DuplicateID: isDuplicate}, isCurrent, true
+		Follower: request.Incarnation, DuplicateIndex: isDuplicate}, isCurrent, true
 }
 
 // identify tells whether a request is of a second process with the same index, each of which would use the node's
@@ -112,7 +112,7 @@
 		return
 	}
 	l.removeCommitment(from, f)
-	f.until, f.delegated, f.delegatesRest = until, map[ID]int{}, request.DelegatesRest
+	f.until, f.delegated, f.delegatesRest = until, map[ID]int{}, request.DelegatesUnlisted
 	for _, d := range request.Delegated {
 		f.delegated[d.ID] = max(d.Units, 0)
 	}
--- a/budget/message.go
+++ b/budget/message.go
@@ -13,32 +13,32 @@
 
 // LeaseRequest goes from a follower to a leader. Without Leader it is a ping, or brings Wanted and Releases alone.
 type LeaseRequest struct {
-	Incarnation     uint64        // of the sender, never 0
-	Seq             uint64        // rises with each request of an incarnation
-	LeaderClock     time.Duration // the latest that came from this leader; 0 for none
-	Leader          uint64        // incarnation of the leader that the sender follows and delegates to; 0 for none
-	Delegated       []Amount      // reservations that the sender leaves to the leader
-	DelegatesRest   bool          // and whole reservations of the budgets of rules that Delegated does not name
-	ConcurrencyHeld []Amount      // units under concurrency leases, to be renewed
-	Acknowledged    uint64        // Seq of the latest response that came
-	Wanted          []Amount      // units that are asked for
-	Releases        []Release     // of grants by Leader, or by ReleasesTo where Leader is 0
-	ReleasesTo      uint64        // incarnation of the leader that Releases are for; 0 for Leader
-	Leaving         bool          // the sender stops, and will use nothing any more
+	Incarnation       uint64        // of the sender, never 0
+	Seq               uint64        // rises with each request of an incarnation
+	LeaderClock       time.Duration // the latest that came from this leader; 0 for none
+	Leader            uint64        // incarnation of the leader that the sender follows and delegates to; 0 for none
+	Delegated         []Amount      // reservations that the sender leaves to the leader
+	DelegatesUnlisted bool          // and whole reservations of the budgets of rules that Delegated does not name
+	ConcurrencyHeld   []Amount      // units under concurrency leases, to be renewed
+	Acknowledged      uint64        // Seq of the latest response that came
+	Wanted            []Amount      // units that are asked for
+	Releases          []Release     // of grants by Leader, or by ReleasesTo where Leader is 0
+	ReleasesTo        uint64        // incarnation of the leader that Releases are for; 0 for Leader
+	Leaving           bool          // the sender stops, and will use nothing any more
 }
 
 // LeaseResponse goes from a leader to a follower: the answer to a LeaseRequest, or on its own when the leader leaves.
 type LeaseResponse struct {
-	Incarnation    uint64        // of the sender, never 0
-	Seq            uint64        // of the request
-	LeaderClock    time.Duration // the sender's clock, which the follower repeats in its next request
-	Follower       uint64        // incarnation that sent the request
-	RenewsHeld     bool          // the concurrency leases that the request named are renewed
-	Grants         []Grant
-	HasQuorum      bool          // more than half of the group follow the sender
-	DuplicateID    bool          // another incarnation uses the follower's index
-	Leaving        bool          // the sender stops; only Incarnation, Follower and GrantsExpireIn are set
-	GrantsExpireIn time.Duration // with Leaving: how long a grant of the sender may have effect
+	Incarnation             uint64        // of the sender, never 0
+	Seq                     uint64        // of the request
+	LeaderClock             time.Duration // the sender's clock, which the follower repeats in its next request
+	Follower                uint64        // incarnation that sent the request
+	RenewsConcurrencyLeases bool          // the concurrency leases that the request named are renewed
+	Grants                  []Grant
+	HasQuorum               bool          // more than half of the group follow the sender
+	DuplicateIndex          bool          // another incarnation uses the follower's index
+	Leaving                 bool          // the sender stops; only Incarnation, Follower and GrantsExpireIn are set
+	GrantsExpireIn          time.Duration // with Leaving: how long a grant of the sender may have effect
 }
 
 // Amount is a number of units of a budget.
--- a/budget/parent.go
+++ b/budget/parent.go
@@ -35,9 +35,9 @@
 
 // ParentCounters count since the start of a Parent.
 type ParentCounters struct {
-	Requests, Deferred      int64 // messages of children; responses that waited for the group
-	FromChildren, FromGroup int64 // units granted out of what children delegate, and of what the group granted
-	Unknown, DeferralsFull  int64 // messages of no child; responses sent at once as too many were deferred
+	Requests, Deferred         int64 // messages of children; responses that waited for the group
+	FromChildren, FromGroup    int64 // units granted out of what children delegate, and of what the group granted
+	Unknown, DeferralOverflows int64 // messages of no child; responses sent at once as too many were deferred
 }
 
 // ParentState is a Parent's part in both groups.
@@ -155,7 +155,7 @@
 	case !mayGrow && (waiting == 0 || isLeaving):
 		p.send(d)
 	case len(p.deferred) >= maxDeferred || waiting >= maxDeferredEach:
-		p.Counters.DeferralsFull++
+		p.Counters.DeferralOverflows++
 		p.send(d)
 	default:
 		p.Counters.Deferred++
--- a/budget/statekey_test.go
+++ b/budget/statekey_test.go
@@ -150,10 +150,10 @@
 	switch m := message.(type) {
 	case LeaseRequest:
 		fmt.Fprint(k, "q", k.name(m.Incarnation), k.seq(m.Incarnation, m.Seq), k.seq(m.Leader, m.Seq),
-			(m.LeaderClock-now)/time.Millisecond, k.name(m.Leader), m.Delegated, m.DelegatesRest, m.Wanted,
+			(m.LeaderClock-now)/time.Millisecond, k.name(m.Leader), m.Delegated, m.DelegatesUnlisted, m.Wanted,
 			len(m.Releases), k.name(m.ReleasesTo), ";")
 	case LeaseResponse:
 		fmt.Fprint(k, "r", k.name(m.Incarnation), k.seq(m.Incarnation, m.Seq), k.seq(m.Follower, m.Seq),
-			(m.LeaderClock-now)/time.Millisecond, k.name(m.Follower), len(m.Grants), m.HasQuorum, m.DuplicateID, ";")
+			(m.LeaderClock-now)/time.Millisecond, k.name(m.Follower), len(m.Grants), m.HasQuorum, m.DuplicateIndex, ";")
 	}
 }
--- a/budget/wire.go
+++ b/budget/wire.go
@@ -9,24 +9,24 @@
 
 // wireMessage is the form of both messages on the wire, an array: fields that a message does not have are zero.
 type wireMessage struct {
-	_               struct{} `cbor:",toarray"`
-	IsResponse      bool
-	Incarnation     uint64
-	Seq             uint64
-	Stamp           int64  // LeaderClock; of a leaving leader GrantsExpireIn
-	Peer            uint64 // Leader of a request, Follower of a response
-	Delegated       []Amount
-	DelegatesRest   bool
-	ConcurrencyHeld []Amount
-	Acknowledged    uint64
-	RenewsHeld      bool
-	Wanted          []Amount
-	Releases        []Release
-	ReleasesTo      uint64
-	Grants          []Grant
-	HasQuorum       bool
-	DuplicateID     bool
-	Leaving         bool
+	_                       struct{} `cbor:",toarray"`
+	IsResponse              bool
+	Incarnation             uint64
+	Seq                     uint64
+	Stamp                   int64  // LeaderClock; of a leaving leader GrantsExpireIn
+	Peer                    uint64 // Leader of a request, Follower of a response
+	Delegated               []Amount
+	DelegatesUnlisted       bool
+	ConcurrencyHeld         []Amount
+	Acknowledged            uint64
+	RenewsConcurrencyLeases bool
+	Wanted                  []Amount
+	Releases                []Release
+	ReleasesTo              uint64
+	Grants                  []Grant
+	HasQuorum               bool
+	DuplicateIndex          bool
+	Leaving                 bool
 }
 
 // DecodeError says that a datagram's body is not a message.
@@ -52,7 +52,7 @@
 // MarshalCBOR is part of cbor.Marshaler.
 func (r LeaseRequest) MarshalCBOR() ([]byte, error) {
 	return cbor.Marshal(wireMessage{Incarnation: r.Incarnation, Seq: r.Seq, Stamp: int64(r.LeaderClock), Peer: r.Leader,
-		Delegated: r.Delegated, DelegatesRest: r.DelegatesRest, ConcurrencyHeld: r.ConcurrencyHeld,
+		Delegated: r.Delegated, DelegatesUnlisted: r.DelegatesUnlisted, ConcurrencyHeld: r.ConcurrencyHeld,
 		Acknowledged: r.Acknowledged, Wanted: r.Wanted, Releases: r.Releases, ReleasesTo: r.ReleasesTo,
 		Leaving: r.Leaving})
 }
@@ -60,8 +60,8 @@
 // MarshalCBOR is part of cbor.Marshaler.
 func (r LeaseResponse) MarshalCBOR() ([]byte, error) {
 	w := wireMessage{IsResponse: true, Incarnation: r.Incarnation, Seq: r.Seq, Stamp: int64(r.LeaderClock),
-		Peer: r.Follower, RenewsHeld: r.RenewsHeld, Grants: r.Grants, HasQuorum: r.HasQuorum,
-		DuplicateID: r.DuplicateID, Leaving: r.Leaving}
+		Peer: r.Follower, RenewsConcurrencyLeases: r.RenewsConcurrencyLeases, Grants: r.Grants, HasQuorum: r.HasQuorum,
+		DuplicateIndex: r.DuplicateIndex, Leaving: r.Leaving}
 	if r.Leaving {
 		w.Stamp = int64(r.GrantsExpireIn)
 	}
@@ -70,15 +70,15 @@
 
 func (w *wireMessage) request() LeaseRequest {
 	return LeaseRequest{Incarnation: w.Incarnation, Seq: w.Seq, LeaderClock: time.Duration(w.Stamp), Leader: w.Peer,
-		Delegated: w.Delegated, DelegatesRest: w.DelegatesRest, ConcurrencyHeld: w.ConcurrencyHeld,
+		Delegated: w.Delegated, DelegatesUnlisted: w.DelegatesUnlisted, ConcurrencyHeld: w.ConcurrencyHeld,
 		Acknowledged: w.Acknowledged, Wanted: w.Wanted, Releases: w.Releases, ReleasesTo: w.ReleasesTo,
 		Leaving: w.Leaving}
 }
 
 func (w *wireMessage) response() LeaseResponse {
 	r := LeaseResponse{Incarnation: w.Incarnation, Seq: w.Seq, LeaderClock: time.Duration(w.Stamp), Follower: w.Peer,
-		RenewsHeld: w.RenewsHeld, Grants: w.Grants, HasQuorum: w.HasQuorum, DuplicateID: w.DuplicateID,
-		Leaving: w.Leaving}
+		RenewsConcurrencyLeases: w.RenewsConcurrencyLeases, Grants: w.Grants, HasQuorum: w.HasQuorum,
+		DuplicateIndex: w.DuplicateIndex, Leaving: w.Leaving}
 	if r.Leaving {
 		r.LeaderClock, r.GrantsExpireIn = 0, time.Duration(w.Stamp)
 	}
--- a/budget/world_test.go
+++ b/budget/world_test.go
@@ -237,7 +237,7 @@
 func (c *ParentCounters) add(d ParentCounters) {
 	c.Requests, c.Deferred = c.Requests+d.Requests, c.Deferred+d.Deferred
 	c.FromChildren, c.FromGroup = c.FromChildren+d.FromChildren, c.FromGroup+d.FromGroup
-	c.Unknown, c.DeferralsFull = c.Unknown+d.Unknown, c.DeferralsFull+d.DeferralsFull
+	c.Unknown, c.DeferralOverflows = c.Unknown+d.Unknown, c.DeferralOverflows+d.DeferralOverflows
 }
 
 // allCounters are those of all Parents in all their incarnations.
--- a/internal/control/counters.go
+++ b/internal/control/counters.go
@@ -29,7 +29,7 @@
 	{"budget_given", func(f *figures) int64 { return f.group.Granted }},
 	{"budget_lapsed", func(f *figures) int64 { return f.group.Expired }},
 	{"budget_stale", func(f *figures) int64 { return f.group.Stale }},
-	{"budget_twins", func(f *figures) int64 { return f.group.DuplicateIDs }},
+	{"budget_twins", func(f *figures) int64 { return f.group.DuplicateIndexes }},
 	{"budget_keepers", func(f *figures) int64 { return f.group.LeaderChanges }},
 	{"budget_followers", func(f *figures) int64 { return int64(f.followers) }},
 }
@@ -41,7 +41,7 @@
 	{"budget_lent", func(f *figures) int64 { return f.parent.FromChildren }},
 	{"budget_passed", func(f *figures) int64 { return f.parent.FromGroup }},
 	{"budget_held_back", func(f *figures) int64 { return f.parent.Deferred }},
-	{"budget_held_full", func(f *figures) int64 { return f.parent.DeferralsFull }},
+	{"budget_held_full", func(f *figures) int64 { return f.parent.DeferralOverflows }},
 	{"budget_strange_asks", func(f *figures) int64 { return f.parent.Unknown }},
 }
 
--- a/internal/control/counters_test.go
+++ b/internal/control/counters_test.go
@@ -36,11 +36,11 @@
 		t.Fatal(err)
 	}
 	m.counters.publish(&figures{
-		group: budget.Counters{Reserved: 1, Leased: 2, Denied: 3, Granted: 4, Expired: 5, Stale: 6, DuplicateIDs: 7,
+		group: budget.Counters{Reserved: 1, Leased: 2, Denied: 3, Granted: 4, Expired: 5, Stale: 6, DuplicateIndexes: 7,
 			LeaderChanges: 8},
 		followers: 9, children: 10,
-		parent: budget.ParentCounters{Deferred: 11, Requests: 12, FromChildren: 13, FromGroup: 14, DeferralsFull: 15,
-			Unknown: 16}})
+		parent: budget.ParentCounters{Deferred: 11, Requests: 12, FromChildren: 13, FromGroup: 14,
+			DeferralOverflows: 15, Unknown: 16}})
 	var counts []*atomic.Int64
 	for _, kind := range []Kind{Retries, ListCalls, HealthChecks, Connects, Moves, Opens, OpenConnections} {
 		counts = append(counts, &m.counters.rejected[kind])
--- a/internal/control/transport/golden_test.go
+++ b/internal/control/transport/golden_test.go
@@ -26,13 +26,13 @@
 func goldenDatagrams() []goldenDatagram {
 	id := func(of uint64) budget.ID { return budget.ID{Kind: 3, Subject: of, Since: -9} }
 	request := budget.LeaseRequest{Incarnation: 1<<64 - 1, Seq: 70000, LeaderClock: 1 << 40, Leader: 1 << 33,
-		Delegated: []budget.Amount{{ID: id(1), Units: 2}}, DelegatesRest: true,
+		Delegated: []budget.Amount{{ID: id(1), Units: 2}}, DelegatesUnlisted: true,
 		ConcurrencyHeld: []budget.Amount{{ID: id(2), Units: 300}}, Acknowledged: 69999,
 		Wanted:   []budget.Amount{{ID: id(1 << 63), Units: 16}, {ID: id(4), Units: 1}},
 		Releases: []budget.Release{{Grant: 5, Used: 1, SinceUse: 400_000_000}}, ReleasesTo: 77, Leaving: true}
 	response := budget.LeaseResponse{Incarnation: 1 << 33, Seq: 70000, GrantsExpireIn: 1 << 41, Follower: 1<<64 - 1,
-		RenewsHeld: true, Grants: []budget.Grant{{ID: id(4), Units: 2, Number: 6}}, HasQuorum: true, DuplicateID: true,
-		Leaving: true}
+		RenewsConcurrencyLeases: true, Grants: []budget.Grant{{ID: id(4), Units: 2, Number: 6}}, HasQuorum: true,
+		DuplicateIndex: true, Leaving: true}
 	sender, receiver := "127.0.0.1:7", "127.0.0.1:8"
 	group := Config{Peers: []string{sender, receiver}}
 	member := func(index int) Config { c := group; c.Index = index; return c }
