--- a/lab/scale/part.go
+++ b/lab/scale/part.go
@@ -412,7 +412,7 @@
 		}
 	}
 	c.Source = emulator.SourceAddr(n.number).String()
-	c.Lab.LogEndpointLists = true
+	c.TestOptions.LogEndpointLists = true
 	n.h.mu.Lock()
 	known := n.h.s.Known
 	n.h.mu.Unlock()
@@ -425,7 +425,7 @@
 	n.h.mu.Lock()
 	n.version, n.keeper, n.followed = c.InitialEndpoints.Version, -1, false
 	n.h.mu.Unlock()
-	c.Lab.PeerLink = func(to netip.AddrPort) (time.Duration, bool) {
+	c.TestOptions.PeerLink = func(to netip.AddrPort) (time.Duration, bool) {
 		if n.dead.Load() {
 			return 0, false
 		}
@@ -437,7 +437,7 @@
 	}
 	source := net.Dialer{LocalAddr: net.TCPAddrFromAddrPort(netip.AddrPortFrom(emulator.SourceAddr(n.number), 0))}
 	way := &n.h.ways[zone][listZone]
-	c.Lab.DialDiscovery = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	c.TestOptions.DialDiscovery = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		delay, _, cut := n.h.links.between(zone, listZone)
 		if cut || n.dead.Load() {
 			<-ctx.Done()
--- a/node/clock.go
+++ b/node/clock.go
@@ -16,7 +16,7 @@
 	wall  func() time.Time // the wall clock
 }
 
-func newClock(lab *Lab) clock {
+func newClock(lab *TestOptions) clock {
 	wall := lab.WallClock
 	if wall == nil {
 		wall = time.Now
--- a/node/config.go
+++ b/node/config.go
@@ -40,8 +40,8 @@
 	Peers Peers `json:"peers"`
 	// Budgets are the quotas that all nodes share.
 	Budgets Budgets `json:"budgets"`
-	// Lab alters the environment of the process in tests.
-	Lab Lab `json:"lab"`
+	// TestOptions alter the environment of the process in tests.
+	TestOptions TestOptions `json:"lab"`
 	// ListenFD is an inherited descriptor of a listening TCP socket; 0 for none.
 	ListenFD int `json:"-"`
 	// HandoverDir is the directory in which two processes of one node meet during a live upgrade; empty to disable
@@ -110,8 +110,8 @@
 	MaxClockDriftPPM int64 `json:"drift_ppm"`
 }
 
-// Lab alters the environment of the process in tests and in the laboratory.
-type Lab struct {
+// TestOptions alter the environment of the process in tests and in the programs below lab.
+type TestOptions struct {
 	// ClockOffsetMS is added to the wall clock, in milliseconds.
 	ClockOffsetMS int64 `json:"clock_off_ms"`
 	// LogEndpointLists logs "list in force", with its version, for each endpoint list that is applied.
--- a/node/control.go
+++ b/node/control.go
@@ -43,7 +43,7 @@
 		ConnectionCloseDelay: milliseconds(c.Timeouts.CloseMS),
 		Listen:               c.Peers.Listen, Peers: c.Peers.NodeAddrs, Parents: c.Peers.ControlAddrs,
 		ChildListen: c.Peers.ChildListen, ControlIndex: c.Peers.ControlIndex, Children: max(c.Settings.NodeCount, 1),
-		Inherited: c.ListenFD != 0, Link: c.Lab.PeerLink,
+		Inherited: c.ListenFD != 0, Link: c.TestOptions.PeerLink,
 	}
 }
 
--- a/node/endpoints.go
+++ b/node/endpoints.go
@@ -41,12 +41,12 @@
 func newEndpointState(cfg *Config, b *balance.Config) endpointState {
 	dialTimeout := settings.Microseconds(cfg.Settings.Limits.DialTimeoutMicros) * listDialFactor
 	client := discovery.New(dialTimeout, milliseconds(cfg.Timeouts.WatchSilenceMS), cfg.sourceAddr())
-	client.DialContext = cfg.Lab.DialDiscovery
+	client.DialContext = cfg.TestOptions.DialDiscovery
 	return endpointState{
 		discovery:       client,
 		discoveryAddr:   cfg.Discovery,
 		version:         cfg.InitialEndpoints.Version,
-		logsLists:       cfg.Lab.LogEndpointLists,
+		logsLists:       cfg.TestOptions.LogEndpointLists,
 		endpointsPushed: b.EndpointsPushed,
 		initialMembers:  cfg.InitialEndpoints.EndpointUpdate(balance.ListCached),
 		servers:         map[balance.ServerID]discovery.Endpoint{},
--- a/node/golden_test.go
+++ b/node/golden_test.go
@@ -226,7 +226,7 @@
 	cfg := testConfig(t, list)
 	change(&cfg)
 	withoutHealthChecks(&cfg)
-	cfg.Lab.WallClock = func() time.Time { return time.Unix(1_790_000_000, 0) }
+	cfg.TestOptions.WallClock = func() time.Time { return time.Unix(1_790_000_000, 0) }
 	n := newTestNode(t, cfg, list)
 	before := acceptRawLink(t, path, n.run)
 	got := append([]string{before.read()}, state...)
--- a/node/loop.go
+++ b/node/loop.go
@@ -64,7 +64,7 @@
 		traces:           log.Core().Enabled(zap.DebugLevel),
 		events:           make(chan func(), eventQueueSize),
 		ctx:              ctx,
-		clock:            newClock(&cfg.Lab),
+		clock:            newClock(&cfg.TestOptions),
 		endpointState:    newEndpointState(cfg, &b),
 		open:             map[balance.RequestID]*exchange.Exchange{},
 		latencies:        map[balance.ServerID]*serverLatency{},
--- a/node/slowstart_test.go
+++ b/node/slowstart_test.go
@@ -100,7 +100,7 @@
 	for _, off := range clockSteps {
 		t.Run(off.String(), func(t *testing.T) {
 			t.Parallel()
-			change := func(c *Config) { c.Lab.ClockOffsetMS = off.Milliseconds() }
+			change := func(c *Config) { c.TestOptions.ClockOffsetMS = off.Milliseconds() }
 			slowStartScenario{change: change}.run(t)
 			slowStartScenario{change: change, omitsDate: true}.run(t)
 			slowStartScenario{change: change, known: true}.run(t) // the Date of the list's answer is what tells
@@ -129,7 +129,7 @@
 	var wall atomic.Int64 // by how much it is off
 	wall.Store(int64(first))
 	slowStartScenario{omitsDate: true, change: func(c *Config) {
-		c.Lab.WallClock = func() time.Time { return time.Now().Add(time.Duration(wall.Load())) }
+		c.TestOptions.WallClock = func() time.Time { return time.Now().Add(time.Duration(wall.Load())) }
 	}, before: func(*testNode) { wall.Store(int64(last)) }}.run(t)
 }
 
@@ -139,7 +139,7 @@
 	var wall atomic.Int64
 	wall.Store(int64(time.Hour))
 	slowStartScenario{omitsDate: true, known: true, change: func(c *Config) {
-		c.Lab.WallClock = func() time.Time { return time.Now().Add(time.Duration(wall.Load())) }
+		c.TestOptions.WallClock = func() time.Time { return time.Now().Add(time.Duration(wall.Load())) }
 	}, before: func(*testNode) { wall.Store(0) }}.run(t)
 }
 
