--- a/internal/control/counters.go
+++ b/internal/control/counters.go
@@ -29,7 +29,7 @@
 	{"budget_given", func(s *counterSnapshot) int64 { return s.group.Granted }},
 	{"budget_lapsed", func(s *counterSnapshot) int64 { return s.group.Expired }},
 	{"budget_stale", func(s *counterSnapshot) int64 { return s.group.Stale }},
-	{"budget_twins", func(s *counterSnapshot) int64 { return s.group.DuplicateIDs }},
+	{"budget_twins", func(s *counterSnapshot) int64 { return s.group.DuplicateIndexes }},
 	{"budget_keepers", func(s *counterSnapshot) int64 { return s.group.LeaderChanges }},
 	{"budget_followers", func(s *counterSnapshot) int64 { return int64(s.followers) }},
 }
@@ -41,7 +41,7 @@
 	{"budget_lent", func(s *counterSnapshot) int64 { return s.parent.FromChildren }},
 	{"budget_passed", func(s *counterSnapshot) int64 { return s.parent.FromGroup }},
 	{"budget_held_back", func(s *counterSnapshot) int64 { return s.parent.Deferred }},
-	{"budget_held_full", func(s *counterSnapshot) int64 { return s.parent.DeferralsFull }},
+	{"budget_held_full", func(s *counterSnapshot) int64 { return s.parent.DeferralOverflows }},
 	{"budget_strange_asks", func(s *counterSnapshot) int64 { return s.parent.Unknown }},
 }
 
--- a/internal/control/slowstart.go
+++ b/internal/control/slowstart.go
@@ -114,7 +114,7 @@
 	}
 	m.slowStart.quotas[id] = quota
 	delete(m.slowStart.dropAt, quota)
-	rampLimit, baseLimit := settings.WarmServerLimit(upServerCount), 1
+	rampLimit, baseLimit := settings.WarmServerAttemptLimit(upServerCount), 1
 	if m.slowStart.firstStart[id] != startMillis { // a restart, of which other nodes may not be notified yet
 		rampLimit, baseLimit = rampLimit*balance.NotifiedNodesFraction, 0
 	}
--- a/node/control.go
+++ b/node/control.go
@@ -43,7 +43,7 @@
 		ConnectionCloseDelay: milliseconds(c.Timeouts.CloseMS),
 		Listen:               c.Peers.Listen, Peers: c.Peers.NodeAddrs, Parents: c.Peers.ControlAddrs,
 		ChildListen: c.Peers.ChildListen, ControlIndex: c.Peers.ControlIndex, MaxChildren: max(c.Settings.NodeCount, 1),
-		RetryListen: c.ListenFD != 0, SimulateLink: c.Lab.PeerLink,
+		RetryListen: c.ListenFD != 0, SimulateLink: c.TestOptions.PeerLink,
 	}
 }
 
