--- a/internal/control/kind.go
+++ b/internal/control/kind.go
@@ -60,8 +60,8 @@
 
 // The errors of RateLimitKind.
 var (
-	ErrUnknownRate     = errors.New("unknown rate limit")
-	ErrNoLimit         = errors.New("no limit is configured")
+	ErrUnknownRate     = errors.New("no rate limit has this name")
+	ErrNoLimit         = errors.New("no bound is configured")
 	ErrLeasingDisabled = errors.New("leasing of quotas is disabled")
 )
 
--- a/internal/control/transport/transport.go
+++ b/internal/control/transport/transport.go
@@ -135,7 +135,7 @@
 			return &AddressError{elementKey, peer, "is no IP address with a port"}
 		}
 		if first, ok := indexes[addr]; ok {
-			return &AddressError{elementKey, peer, fmt.Sprintf("duplicates %s[%d]", key, first)}
+			return &AddressError{elementKey, peer, fmt.Sprintf("is that of %s[%d] too", key, first)}
 		}
 		indexes[addr] = i
 	}
