--- a/internal/control/parent_test.go
+++ b/internal/control/parent_test.go
@@ -22,11 +22,10 @@
 	}
 }
 
-// Guards against a limit that is exceeded, or units that become unusable, when a control machine fails with all that
-// was delegated to it. A node that alone needs units acquires at least half of the limit per second, although its
-// guaranteed part is a twelfth. The nodes below the failed control machine lease units from another one after they have
-// detected the failure, which takes 2.5 heartbeat intervals, and follow it again after its restart. Nodes below other
-// control machines are not affected.
+// Guards against a limit that is exceeded, or delegated units that become unusable, when a control machine fails. Its
+// nodes detect the failure after 2.5 heartbeat intervals, lease units from another one and return after its restart;
+// other nodes are not affected. Also checks that a node that alone needs units acquires at least half of the limit per
+// second, although its guaranteed part is a twelfth.
 func TestLimitHoldsWhenControlMachineFails(t *testing.T) {
 	const limit, heartbeatInterval = 60, 400 * time.Millisecond
 	tree := newNodeTree(t, 6, 3, func(c *Config) { c.Limits = []Limit{{Retries, limit}} })
--- a/internal/control/transport/conn_test.go
+++ b/internal/control/transport/conn_test.go
@@ -150,9 +150,8 @@
 }
 
 // Guards against control machines and children that handle invalid datagrams. A control machine accepts children by
-// index from any address; a child accepts the addresses of its control machines only. All other datagrams are dropped
-// and counted by their fault: of another message kind or version, with an index that no child has, or longer than
-// MaxDatagramSize, even if they begin with a valid envelope.
+// index from any address, a child only the addresses of its control machines. All other datagrams are dropped and
+// counted by their fault; one longer than MaxDatagramSize also if it begins with a valid envelope.
 func TestParentAndChildDropInvalidDatagrams(t *testing.T) {
 	parent, parentAddr, requests := startConn(t, Config{Role: Parent, Index: 1, MaxChildren: 10})
 	unusedAddr := "127.0.0.1:1"
