--- a/node/attempts.go
+++ b/node/attempts.go
@@ -8,70 +8,73 @@
 	"brassmux/internal/exchange"
 )
 
-// startAttempt sends a request to a server, once the quotas allow it.
-func (l *loop) startAttempt(a balance.Attempt) {
-	x := l.open[a.ID]
-	if x == nil {
+// startAttempt sends a request to a server once the quotas allow it.
+func (l *loop) startAttempt(action balance.Attempt) {
+	request := l.requests[action.ID]
+	if request == nil {
 		return
 	}
-	server := l.servers[a.Server]
+	server := l.servers[action.Server]
 	attempt := exchange.Attempt{
-		Number:                x.Attempts,
-		Server:                a.Server,
+		Number:                request.Attempts,
+		Server:                action.Server,
 		Addr:                  server.Addr,
 		ServerStartedAtMillis: server.StartedAtMillis,
 	}
-	x.Attempts++
-	end := func(o balance.Outcome) { go l.Closed(x, attempt, o, 0, nil) } // Closed blocks where the loop calls it
-	if !l.invariants.allowAttempt(x, attempt, server.State) {
-		end(balance.Abandoned)
+	request.Attempts++
+	// Closed runs in a goroutine of its own: it posts to the loop, which would wait for itself while its queue is full.
+	endAttempt := func(outcome balance.Outcome) { go l.Closed(request, attempt, outcome, 0, nil) }
+	if !l.invariants.allowAttempt(request, attempt, server.State) {
+		endAttempt(balance.Abandoned)
 		return
 	}
-	// A retry does not wait for a unit of its quota: that would add to the time that the request has waited.
+	// A retry does not wait for its quota, because the request has already spent time on an earlier attempt.
 	isRetry := attempt.Number > 0
 	if isRetry && !l.control.TryAcquire(control.Retries, 0) {
-		end(balance.Abandoned)
+		endAttempt(balance.Abandoned)
 		return
 	}
-	decided := time.Now()
-	if a.SendWithin > 0 {
-		attempt.LimitSendBy(decided.Add(a.SendWithin))
+	decidedAt := time.Now()
+	if action.SendWithin > 0 {
+		attempt.LimitSendBy(decidedAt.Add(action.SendWithin))
 	}
-	l.control.Acquire(control.Connects, uint64(a.Server), quotaWait, func(ok bool) {
+	l.control.Acquire(control.Connects, uint64(action.Server), quotaWait, func(ok bool) {
 		if !ok {
-			end(balance.Abandoned)
+			endAttempt(balance.Abandoned)
 			return
-		} else if l.isStale(attempt) { // the list has changed while it waited
-			end(balance.NotSent)
+		} else if l.isStale(attempt) { // the endpoint list has changed while the attempt waited for its quota
+			endAttempt(balance.NotSent)
 			return
 		}
-		if deadline := l.control.AttemptDeadline(a.Server, isRetry, decided); !deadline.IsZero() {
+		if deadline := l.control.AttemptDeadline(action.Server, isRetry, decidedAt); !deadline.IsZero() {
 			attempt.LimitSendBy(deadline)
 		}
-		l.backend.Attempt(x, attempt, a.Timeout)
+		l.backend.Attempt(request, attempt, action.Timeout)
 	})
 }
 
-// isStale reports whether a server is no longer what it was when an attempt was decided: it is draining or gone, has
-// another address, where another server may be, or has restarted. Where only draining binds, a list without the server
-// does not mean that it accepts nobody.
-func (l *loop) isStale(a exchange.Attempt) bool {
-	s, ok := l.servers[a.Server]
+// isStale reports whether the server of an attempt has changed since the attempt was decided: it is draining, has
+// restarted, has left the endpoint list, or has another address, so that another server may use the old one. With
+// keepsUnlistedServers, leaving the list does not make an attempt stale.
+func (l *loop) isStale(attempt exchange.Attempt) bool {
+	server, ok := l.servers[attempt.Server]
 	if !ok {
-		return !l.keepsUnlisted
+		return !l.keepsUnlistedServers
 	}
-	return s.State != serverUp || s.Addr != a.Addr || s.StartedAtMillis != a.ServerStartedAtMillis
+	return server.State != serverUp || server.Addr != attempt.Addr ||
+		server.StartedAtMillis != attempt.ServerStartedAtMillis
 }
 
-// cancelStaleAttempts cancels attempts that were decided by an older list and are not sent yet: a server may begin to
-// drain while a connection to it comes up. A reconnect is no new client for a draining server.
+// cancelStaleAttempts cancels attempts that are not sent yet and have become stale with the current endpoint list, for
+// example because the server began to drain while the connection was being established. A client that reconnects to
+// its former server is still sent there while the server drains, because it is not a new client.
 func (l *loop) cancelStaleAttempts() {
-	for _, x := range l.open {
-		x.CancelUnsent(func(a exchange.Attempt) bool {
-			if len(x.Head.PreviousServer) > 0 && l.servers[a.Server].State == serverDraining {
+	for _, request := range l.requests {
+		request.CancelUnsent(func(attempt exchange.Attempt) bool {
+			if len(request.Head.PreviousServer) > 0 && l.servers[attempt.Server].State == serverDraining {
 				return false
 			}
-			return l.isStale(a)
+			return l.isStale(attempt)
 		})
 	}
 }
--- a/node/clock.go
+++ b/node/clock.go
@@ -8,71 +8,72 @@
 	"brassmux/balance"
 )
 
-// clock is the time of a node. It starts as the machine's wall clock and continues with the monotonic one: it never
-// jumps, but keeps the error that the wall clock had when the process started. It is safe for concurrent use.
+// clock is the clock of a node. It is set from the wall clock when the process starts and advances with the monotonic
+// clock. It never jumps, but keeps any error that the wall clock had at the start. It is safe for concurrent use.
 type clock struct {
-	start time.Time        // of the process, with its monotonic reading
-	epoch time.Duration    // the wall clock at the start, since Unix time 0
-	wall  func() time.Time // the wall clock
+	start         time.Time        // of the process; includes a monotonic reading
+	epoch         time.Duration    // the wall clock at the start, as time since the Unix epoch
+	readWallClock func() time.Time // with the configured offset
 }
 
-func newClock(lab *TestOptions) clock {
-	wall := lab.WallClock
-	if wall == nil {
-		wall = time.Now
+func newClock(options *TestOptions) clock {
+	readWallClock := options.WallClock
+	if readWallClock == nil {
+		readWallClock = time.Now
 	}
-	offset := milliseconds(lab.ClockOffsetMS)
-	c := clock{start: time.Now(), wall: func() time.Time { return wall().Add(offset) }}
-	c.epoch = sinceUnix(c.wall())
+	offset := milliseconds(options.ClockOffsetMS)
+	c := clock{start: time.Now(), readWallClock: func() time.Time { return readWallClock().Add(offset) }}
+	c.epoch = sinceUnixEpoch(c.readWallClock())
 	return c
 }
 
-// sinceUnix returns a reading of a wall clock as a time since Unix time 0.
-func sinceUnix(t time.Time) time.Duration { return time.Duration(t.UnixNano()) }
+// sinceUnixEpoch converts a wall-clock time to the time since the Unix epoch.
+func sinceUnixEpoch(t time.Time) time.Duration { return time.Duration(t.UnixNano()) }
 
-// now counts from Unix time 0, as the start times in the endpoint list do.
+// now returns the time since the Unix epoch, the unit of the start times in the endpoint list.
 func (c *clock) now() time.Duration { return c.epoch + c.sinceStart() }
 
-// sinceStart counts from the start of the process.
+// sinceStart returns the time since the start of the process.
 func (c *clock) sinceStart() time.Duration { return time.Since(c.start) }
 
-// at is now at another moment, which has a monotonic reading.
-func (c *clock) at(t time.Time) time.Duration { return c.epoch + t.Sub(c.start) }
+// timeAt returns the value of now at time t, which must have a monotonic reading.
+func (c *clock) timeAt(t time.Time) time.Duration { return c.epoch + t.Sub(c.start) }
 
-// steppedBack returns by how much the wall clock was set back since the start; negative where it was set forward.
-func (c *clock) steppedBack() time.Duration { return c.now() - sinceUnix(c.wall()) }
+// wallClockStepBack returns how far the wall clock was set back since the start; negative if it was set forward.
+func (c *clock) wallClockStepBack() time.Duration { return c.now() - sinceUnixEpoch(c.readWallClock()) }
 
-// dateResolution is that of the Date of an HTTP response, which is rounded down (RFC 9110, section 5.6.7).
+// dateResolution is the resolution of the Date header of an HTTP response, which is rounded down (RFC 9110, section
+// 5.6.7).
 const dateResolution = time.Second
 
-// leadOver returns by how much this clock is ahead, at most, of another machine's that showed date between the moments
-// asked and answered; 0 where it may not be ahead at all.
-func (c *clock) leadOver(date, asked, answered time.Time) time.Duration {
-	if c.at(asked) < sinceUnix(date)+dateResolution {
+// leadOver returns an upper bound of how far this clock is ahead of another machine's clock, which showed date at some
+// time between requestedAt and respondedAt. It returns 0 if this clock need not be ahead.
+func (c *clock) leadOver(date, requestedAt, respondedAt time.Time) time.Duration {
+	if c.timeAt(requestedAt) < sinceUnixEpoch(date)+dateResolution {
 		return 0
 	}
-	return c.at(answered) - sinceUnix(date)
+	return c.timeAt(respondedAt) - sinceUnixEpoch(date)
 }
 
-// wallClockState is what is known of the node's clock against those by which server starts are listed.
+// wallClockState holds how far the node's clock may be ahead of the clocks that date the server starts in the list.
 type wallClockState struct {
-	clockLead     time.Duration // this clock may be ahead by it
-	clockLeadSeen bool          // another clock was observed, not only a step of this machine's
+	clockLead         time.Duration // the largest possible lead found so far
+	clockLeadObserved bool          // found by comparison with another clock, not only by a step of this machine's
 }
 
-// checkWallClock takes a step back of the wall clock as evidence that it was ahead at the start of the process.
-func (l *loop) checkWallClock() { l.onClockLead(l.steppedBack(), false) }
+// checkWallClock treats a backward step of the wall clock as evidence that it was ahead when the process started.
+func (l *loop) checkWallClock() { l.onClockLead(l.wallClockStepBack(), false) }
 
-// onClockLead passes on that this clock may be ahead of those by which server starts are listed; observed where such a
-// clock was seen.
+// onClockLead records that this clock may be ahead by lead and informs the balancer and the control plane. observed is
+// true if the lead was found by comparison with the discovery service's clock.
 func (l *loop) onClockLead(lead time.Duration, observed bool) {
-	if lead <= l.clockLead && (l.clockLeadSeen || !observed) {
+	if lead <= l.clockLead && (l.clockLeadObserved || !observed) {
 		return
 	}
-	if lead >= l.clockLead+dateResolution { // less is how clocks are kept in step
+	if lead >= l.clockLead+dateResolution { // smaller changes are normal clock synchronization
 		l.log.Warn("clock may be ahead", zap.Duration("lead", lead), zap.Bool("observed_at_discovery", observed))
 	}
-	l.clockLead, l.clockLeadSeen = max(l.clockLead, lead), l.clockLeadSeen || observed
-	l.handle(balance.ClockOffset{Ahead: l.clockLead, ReferenceSeen: l.clockLeadSeen})
+	l.clockLead, l.clockLeadObserved = max(l.clockLead, lead), l.clockLeadObserved || observed
+	l.handle(balance.ClockOffset{Ahead: l.clockLead, ReferenceSeen: l.clockLeadObserved})
 	l.control.UpdateLimits()
 }
--- a/node/config_validate.go
+++ b/node/config_validate.go
@@ -10,10 +10,10 @@
 	"brassmux/internal/settings"
 )
 
-// adminKey names both places that the admin address may come from.
+// adminKey names the two sources of the admin address in error messages.
 const adminKey = "admin (or LB_ADMIN)"
 
-// validate is Validate for a caller that wants the first error only.
+// validate calls Validate and returns only the first error.
 func (c *Config) validate() error {
 	if faults := c.Validate(); len(faults) > 0 {
 		return faults[0]
@@ -21,7 +21,7 @@
 	return nil
 }
 
-// Validate replaces zero values by defaults and returns a *ConfigError for each key that is faulty.
+// Validate replaces zero values with defaults and returns a *ConfigError for each invalid key.
 func (c *Config) Validate() []error {
 	c.setDefaults()
 	var faults configErrors
@@ -50,15 +50,15 @@
 }
 
 func (c *Config) validateAddresses(faults *configErrors) {
-	for _, a := range []struct {
+	for _, address := range []struct {
 		key, addr string
 		required  bool
 	}{{"listen", c.Listen, true}, {"discovery", c.Discovery, true}, {adminKey, c.Admin, false}} {
-		if a.addr == "" && !a.required {
+		if address.addr == "" && !address.required {
 			continue
 		}
-		if _, port, err := net.SplitHostPort(a.addr); err != nil || port == "" {
-			faults.add(a.key, "%q is no address with a port", a.addr)
+		if _, port, err := net.SplitHostPort(address.addr); err != nil || port == "" {
+			faults.add(address.key, "%q is no address with a port", address.addr)
 		}
 	}
 	if c.Source != "" {
@@ -68,20 +68,20 @@
 	}
 }
 
-// parseSeed returns the seed of the random numbers.
+// parseSeed returns the seed of the pseudo-random numbers.
 func (c *Config) parseSeed() (uint64, error) {
 	if c.Seed == "" {
 		return 0, nil
 	}
-	n, err := strconv.ParseUint(c.Seed, 16, 64)
+	seed, err := strconv.ParseUint(c.Seed, 16, 64)
 	if err != nil {
 		return 0, &ConfigError{Key: "seed", Err: err,
-			text: fmt.Sprintf(": %q is no number of at most 16 hexadecimal digits", c.Seed)}
+			detail: fmt.Sprintf(": %q is no number of at most 16 hexadecimal digits", c.Seed)}
 	}
-	return n, nil
+	return seed, nil
 }
 
-// rangeCheck is the result of checking one key.
+// rangeCheck is the result of a range check of one key.
 type rangeCheck struct {
 	key        string
 	outOfRange bool
@@ -96,16 +96,16 @@
 	}
 }
 
-// addUnlisted reports a value that is neither empty nor one of those that the key takes.
+// addUnlisted reports a value that is neither empty nor one of the allowed values.
 func (e *configErrors) addUnlisted(key, value string, allowed []string) {
 	if value != "" && !slices.Contains(allowed, value) {
 		e.add(key, "%q is none of %q", value, allowed)
 	}
 }
 
-// validateSite checks a site's settings, whose keys begin with prefix.
+// validateSite checks a site's settings. The keys in its errors begin with prefix.
 func validateSite(faults *configErrors, prefix string, site *settings.Site) {
-	initialShare := site.Servers.SlowStartMinCapacity
+	minCapacity := site.Servers.SlowStartMinCapacity
 	faults.addOutOfRange(
 		rangeCheck{prefix + ".balancers", site.NodeCount < 0, site.NodeCount},
 		rangeCheck{prefix + ".index", site.NodeIndex < 0, site.NodeIndex},
@@ -115,7 +115,7 @@
 		rangeCheck{prefix + ".ceilings.max_open", site.Limits.MaxOpenRequests < 0, site.Limits.MaxOpenRequests},
 		rangeCheck{prefix + ".ceilings.send_cap", site.Limits.MaxAttempts < 0, site.Limits.MaxAttempts},
 		rangeCheck{prefix + ".classes", len(site.Classes) == 0, "none"},
-		rangeCheck{prefix + ".rules.cold_from", initialShare < 0 || initialShare > 1, initialShare},
+		rangeCheck{prefix + ".rules.cold_from", minCapacity < 0 || minCapacity > 1, minCapacity},
 		rangeCheck{prefix + ".rules.left_margin_us", site.Servers.TimeoutUncertaintyMicros < 0,
 			site.Servers.TimeoutUncertaintyMicros},
 		rangeCheck{prefix + ".rules.start_error_us", site.Servers.StartTimeUncertaintyMicros < 0,
--- a/node/control.go
+++ b/node/control.go
@@ -10,11 +10,11 @@
 	"brassmux/internal/settings"
 )
 
-// quotaWait is how long a request waits for the other nodes' answer where this node's part of a quota is used up: what
-// it asks for has to be on its way soon after.
+// quotaWait limits the time that a request waits for units from other nodes once this node's share of a quota is used
+// up. The operation that needs the unit must start soon after that.
 const quotaWait = 100 * time.Millisecond
 
-// limits are those of the configuration, by kind.
+// limits returns the configured limit of each kind.
 func (b *Budgets) limits() []control.Limit {
 	return []control.Limit{
 		{Kind: control.Retries, Units: b.RetriesPerSecond},
@@ -27,11 +27,11 @@
 	}
 }
 
-// control is the configuration of the control plane. The epoch is what the node's clock showed at the process's start.
-func (c *Config) control(set *balance.Config, incarnation uint64, epoch time.Duration) control.Config {
-	dial := settings.Microseconds(c.Settings.Limits.DialTimeoutMicros)
+// controlConfig returns the configuration of the control plane. The epoch is the node's time at the process start.
+func (c *Config) controlConfig(balanceConfig *balance.Config, incarnation uint64, epoch time.Duration) control.Config {
+	dialTimeout := settings.Microseconds(c.Settings.Limits.DialTimeoutMicros)
 	return control.Config{
-		Settings: *set, Incarnation: incarnation, Epoch: epoch,
+		Settings: *balanceConfig, Incarnation: incarnation, Epoch: epoch,
 		Limits: c.Budgets.limits(), Guaranteed: c.Budgets.GuaranteedShare,
 		ControlGuaranteed:   c.Budgets.ControlGuaranteedShare,
 		LeaseTerm:           milliseconds(c.Budgets.LeaseTermMS),
@@ -39,7 +39,7 @@
 		ConnectionLeaseTerm: milliseconds(c.Budgets.OpenLeaseMS),
 		HeartbeatInterval:   milliseconds(c.Budgets.HeartbeatMS),
 		MaxClockDrift:       float64(c.Budgets.MaxClockDriftPPM) / 1e6,
-		ConnectTimeout:      dial, ListConnectTimeout: dial * listDialFactor,
+		ConnectTimeout:      dialTimeout, ListConnectTimeout: dialTimeout * listDialFactor,
 		ConnectionCloseDelay: milliseconds(c.Timeouts.CloseMS),
 		Listen:               c.Peers.Listen, Peers: c.Peers.NodeAddrs, Parents: c.Peers.ControlAddrs,
 		ChildListen: c.Peers.ChildListen, ControlIndex: c.Peers.ControlIndex, Children: max(c.Settings.NodeCount, 1),
@@ -47,75 +47,83 @@
 	}
 }
 
-// controlLoop is the loop as the control plane sees it.
-type controlLoop struct{ l *loop }
+// controlLoop implements control.Loop for the control plane.
+type controlLoop struct{ loop *loop }
 
+// Post is part of control.Loop.
 func (c controlLoop) Post(event func()) bool {
 	select {
-	case c.l.events <- event:
+	case c.loop.events <- event:
 		return true
 	default:
 		return false
 	}
 }
 
-func (c controlLoop) Now() time.Duration { return c.l.now() }
+// Now is part of control.Loop.
+func (c controlLoop) Now() time.Duration { return c.loop.now() }
 
-func (c controlLoop) Uptime() time.Duration { return c.l.uptime() }
+// Uptime is part of control.Loop.
+func (c controlLoop) Uptime() time.Duration { return c.loop.uptime() }
 
+// WakeAt is part of control.Loop.
 func (c controlLoop) WakeAt(at time.Duration) {
-	heap.Push(&c.l.timers, timer{at: at, owner: controlTimer})
+	heap.Push(&c.loop.timers, timer{at: at, owner: controlTimer})
 }
 
-func (c controlLoop) Servers() map[balance.ServerID]discovery.Endpoint { return c.l.servers }
+// Servers is part of control.Loop.
+func (c controlLoop) Servers() map[balance.ServerID]discovery.Endpoint { return c.loop.servers }
 
+// StartedAt is part of control.Loop.
 func (c controlLoop) StartedAt(server balance.ServerID) time.Duration {
-	return c.l.balancer.LatestStart(server)
+	return c.loop.balancer.LatestStart(server)
 }
 
-// OnQuotaAnswer has the decisions look again at requests that wait for the server.
+// OnQuotaAnswer is part of control.Loop. It makes the balancer reconsider the requests that wait for the server.
 func (c controlLoop) OnQuotaAnswer(server balance.ServerID) {
-	c.l.handle(balance.HealthCheckResult{Server: server, Outcome: balance.OK})
+	c.loop.handle(balance.HealthCheckResult{Server: server, Outcome: balance.OK})
 }
 
-func (c controlLoop) MoveClient(request balance.RequestID) {
-	if x := c.l.open[request]; x != nil && x.Move() {
-		c.l.counters.moved.Add(1)
+// MoveClient is part of control.Loop.
+func (c controlLoop) MoveClient(id balance.RequestID) {
+	if request := c.loop.requests[id]; request != nil && request.Move() {
+		c.loop.counters.migrated.Add(1)
 	}
 }
 
-// leave gives up what this node holds: its units of shared quotas, and the decisions' hold on clients. The limits of
-// servers in slow start are left to the next process of this node.
+// onStop prepares a graceful shutdown: it returns this node's units of shared quotas, and releases the slow-start
+// budgets to the next process of this node.
 func (l *loop) onStop() {
 	l.isStopping = true
 	l.setReleased(true)
 	l.control.Leave()
 }
 
-// The reasons for which Acquire cannot use a rate limit.
+// The errors of Acquire for a rate limit that it cannot use.
 var (
 	ErrUnknownRate     = control.ErrUnknownRate     // no rate limit has this name
-	ErrNoLimit         = control.ErrNoLimit         // the configuration sets no limit
-	ErrLeasingDisabled = control.ErrLeasingDisabled // the nodes lease no quotas (budgets.lease)
+	ErrNoLimit         = control.ErrNoLimit         // the configuration does not set this limit
+	ErrLeasingDisabled = control.ErrLeasingDisabled // budgets.lease is not set
 )
 
-// Acquire takes one unit of a rate limit that all nodes share, for a program that does what the limit covers by other
-// ways than this node's clients. The limit is given by its key below "budgets" in the configuration, such as
-// "retries_per_s"; of is the server or customer where the limit is of each, else 0. Done is called once, from the
-// loop's goroutine, which it must not block: with true where there was a unit within wait, and else with false. After
-// the node has ended it is not called any more.
+// Acquire takes one unit of a rate limit that all nodes share. It lets a program apply the limit to operations of its
+// own besides those of the node's clients. The limit is named by its key below "budgets" in the configuration, such as
+// "retries_per_s". subject is the server or customer if the limit applies to each of them separately, otherwise 0.
 //
-// Acquire fails with ErrUnknownRate, ErrNoLimit or ErrLeasingDisabled. It may be called from any goroutine but the
-// loop's, and blocks while the loop's queue is full.
-func (n *Node) Acquire(limit string, of uint64, wait time.Duration, done func(ok bool)) error {
-	m := n.loop.control
-	kind, err := m.RateLimit(limit)
+// done is called once, with true if a unit became available within wait, otherwise with false. It runs in the goroutine
+// of the event loop and must not block. It is not called after the node has ended.
+//
+// Acquire returns ErrUnknownRate, ErrNoLimit or ErrLeasingDisabled if the limit cannot be used. It blocks while the
+// queue of the event loop is full, and must not be called from done.
+func (n *Node) Acquire(limit string, subject uint64, wait time.Duration, done func(ok bool)) error {
+	manager := n.loop.control
+	kind, err := manager.RateLimit(limit)
 	if err != nil {
 		return err
 	}
 	n.loop.post(func() {
-		m.Acquire(kind, of, wait, done)
-		m.SendRequests()
+		manager.Acquire(kind, subject, wait, done)
+		manager.SendRequests()
 	})
 	return nil
 }
--- a/node/control_tree_test.go
+++ b/node/control_tree_test.go
@@ -43,7 +43,7 @@
 				t.Fatalf("process %d: %v", i, faults)
 			}
 			b := c.Settings.BalanceConfig()
-			checkTreeControl(t, i, c.control(&b, 1, time.Hour))
+			checkTreeControl(t, i, c.controlConfig(&b, 1, time.Hour))
 		}
 	}
 }
--- a/node/descriptors.go
+++ b/node/descriptors.go
@@ -1,33 +1,35 @@
 package node
 
-// Descriptors that are not for connections: files, listeners, a connection that is accepted and waits for a worker, two
-// watches while one replaces the other, and one for a health check.
+// reservedDescriptors are not available for connections of clients and servers: they are for files, listeners, a
+// connection that is accepted and waits for a worker, two endpoint watches while one replaces the other, and one health
+// check.
 const reservedDescriptors = 24
 
 const (
 	minConnections           = 8
-	minConnectionDescriptors = 3 * minConnections // one for each without a request, two for each request
+	minConnectionDescriptors = 3 * minConnections // one per connection without a request, two per request
 )
 
-// connectionLimits divides the descriptors: some for health checks, two for each request and its server, and an eighth
-// of the rest for connections without a request yet, so that those keep no request out. Health checks get one
-// descriptor for each server of the initial endpoint list, but between an eighth and a quarter of all, so that a list
-// that grows later takes none from requests.
-func (c *Config) connectionLimits() (requests, withoutRequest, healthChecks int) {
-	left := c.Limits.FileDescriptors - reservedDescriptors - c.adminConnectionLimit()
-	healthChecks = min(max(len(c.InitialEndpoints.Servers), left/8), left/4)
-	healthChecks = max(min(healthChecks, left-minConnectionDescriptors), 1)
-	left -= healthChecks
-	withoutRequest = max(left/8, minConnections)
-	requests = max((left-withoutRequest)/2, minConnections)
+// connectionLimits divides the descriptors among health checks, connections without a request yet (handshakes) and
+// requests. A request takes two descriptors, one for its client and one for its server. Handshakes get an eighth of
+// what health checks leave, so that they cannot crowd out requests. Health checks get one descriptor per server of the
+// initial endpoint list, but at least an eighth and at most a quarter of all, so that an endpoint list that grows later
+// takes none from requests.
+func (c *Config) connectionLimits() (requests, handshakes, healthChecks int) {
+	available := c.Limits.FileDescriptors - reservedDescriptors - c.adminConnectionLimit()
+	healthChecks = min(max(len(c.InitialEndpoints.Servers), available/8), available/4)
+	healthChecks = max(min(healthChecks, available-minConnectionDescriptors), 1)
+	available -= healthChecks
+	handshakes = max(available/8, minConnections)
+	requests = max((available-handshakes)/2, minConnections)
 	if limit := c.Settings.Limits.MaxOpenRequests; limit > 0 {
 		requests = min(requests, limit)
 	}
-	return requests, withoutRequest, healthChecks
+	return requests, handshakes, healthChecks
 }
 
-// adminConnectionLimit is the number of descriptors set apart for the admin address, so that neither side starves the
-// other.
+// adminConnectionLimit returns the number of descriptors reserved for the admin address, so that admin connections and
+// clients cannot exhaust each other's descriptors.
 func (c *Config) adminConnectionLimit() int {
 	if c.Admin == "" {
 		return 0
--- a/node/endpoints.go
+++ b/node/endpoints.go
@@ -16,92 +16,93 @@
 	serverRemoved  = "removed"
 )
 
-// endpointState is the endpoint list with the watch that keeps it up to date.
+// endpointState holds the endpoint list and the watches that keep it up to date.
 type endpointState struct {
-	discovery     *discovery.Client
-	discoveryAddr string
-	version       int64 // of the list; each discovery service numbers its own
-	logsLists     bool
+	discovery         *discovery.Client
+	discoveryAddr     string
+	listVersion       int64 // numbered by the discovery service that sent the list
+	logsEndpointLists bool
 
-	endpointsPushed bool // the site tells of changes unasked
-	isWatching      bool // a watch is open, or about to be
+	endpointsPushed bool // the site pushes changes, so a watch is always open
+	isWatching      bool // a watch is open or waits for its quota
 	watchAttempts   int
-	current         *watch // the one opened last
-	previous        *watch // the one before it, until current has data
+	currentWatch    *watch // the most recently opened one
+	previousWatch   *watch // its predecessor, kept until currentWatch receives data
 
-	initialMembers  balance.EndpointUpdate
-	servers         map[balance.ServerID]discovery.Endpoint
-	draining        map[balance.ServerID]bool
-	keepsUnlisted   bool          // a server that the list does not name may still accept clients
-	serverDrainTime time.Duration // a draining server has it to migrate its clients itself
+	initialEndpoints     balance.EndpointUpdate
+	servers              map[balance.ServerID]discovery.Endpoint
+	drainingServers      map[balance.ServerID]bool
+	keepsUnlistedServers bool          // a server that is not in the list may still accept clients
+	serverDrainTimeout   time.Duration // given to a draining server to migrate its clients itself
 
-	awaitingServer []*exchange.Exchange // connections of before, to servers that no list has named yet
+	awaitingServer []*exchange.Exchange // reconnecting clients whose servers are not in the list yet
 }
 
-func newEndpointState(cfg *Config, b *balance.Config) endpointState {
+func newEndpointState(cfg *Config, balanceConfig *balance.Config) endpointState {
 	dialTimeout := settings.Microseconds(cfg.Settings.Limits.DialTimeoutMicros) * listDialFactor
 	client := discovery.New(dialTimeout, milliseconds(cfg.Timeouts.WatchSilenceMS), cfg.sourceAddr())
 	client.DialContext = cfg.TestOptions.DialDiscovery
 	return endpointState{
-		discovery:       client,
-		discoveryAddr:   cfg.Discovery,
-		version:         cfg.InitialEndpoints.Version,
-		logsLists:       cfg.TestOptions.LogEndpointLists,
-		endpointsPushed: b.EndpointsPushed,
-		initialMembers:  cfg.InitialEndpoints.EndpointUpdate(balance.ListCached),
-		servers:         map[balance.ServerID]discovery.Endpoint{},
-		draining:        map[balance.ServerID]bool{},
-		keepsUnlisted:   b.KeepUnlistedServers,
-		serverDrainTime: milliseconds(cfg.Timeouts.ServerDrainMS),
+		discovery:            client,
+		discoveryAddr:        cfg.Discovery,
+		listVersion:          cfg.InitialEndpoints.Version,
+		logsEndpointLists:    cfg.TestOptions.LogEndpointLists,
+		endpointsPushed:      balanceConfig.EndpointsPushed,
+		initialEndpoints:     cfg.InitialEndpoints.EndpointUpdate(balance.ListCached),
+		servers:              map[balance.ServerID]discovery.Endpoint{},
+		drainingServers:      map[balance.ServerID]bool{},
+		keepsUnlistedServers: balanceConfig.KeepUnlistedServers,
+		serverDrainTimeout:   milliseconds(cfg.Timeouts.ServerDrainMS),
 	}
 }
 
-// applyEndpointList applies a list, or changes to the one in force.
+// applyEndpointList applies a complete list, or changes to the current one.
 func (l *loop) applyEndpointList(list *discovery.EndpointList) {
 	kind := balance.ListDelta
 	if list.Full {
 		kind = balance.ListSnapshot
 		clear(l.servers)
-		clear(l.draining)
+		clear(l.drainingServers)
 	}
 	l.updateServers(list)
 	l.handle(list.EndpointUpdate(kind))
 	l.control.UpdateLimits()
 	l.cancelStaleAttempts()
-	for _, s := range list.Servers {
-		if s.State == serverDraining {
-			l.onServerDraining(balance.ServerID(s.ID))
+	for _, server := range list.Servers {
+		if server.State == serverDraining {
+			l.onServerDraining(balance.ServerID(server.ID))
 		}
 	}
 	waiting := l.awaitingServer
 	l.awaitingServer = nil
-	for _, x := range waiting {
-		l.reconnect(x)
+	for _, request := range waiting {
+		l.reconnect(request)
 	}
 }
 
+// updateServers applies the entries of a list to the tables of servers.
 func (l *loop) updateServers(list *discovery.EndpointList) {
-	for _, s := range list.Servers {
-		id := balance.ServerID(s.ID)
-		if s.State == serverRemoved {
+	for _, server := range list.Servers {
+		id := balance.ServerID(server.ID)
+		if server.State == serverRemoved {
 			delete(l.servers, id)
 			delete(l.latencies, id)
 		} else {
-			l.servers[id] = s
+			l.servers[id] = server
 		}
-		if s.State == serverDraining {
-			l.draining[id] = true
+		if server.State == serverDraining {
+			l.drainingServers[id] = true
 		} else {
-			delete(l.draining, id)
+			delete(l.drainingServers, id)
 		}
 	}
 }
 
-// onServerDraining migrates the clients of a draining server that it has not migrated itself after a while.
+// onServerDraining migrates the clients that a draining server has not migrated itself within serverDrainTimeout.
 func (l *loop) onServerDraining(id balance.ServerID) {
-	time.AfterFunc(l.serverDrainTime, func() {
+	time.AfterFunc(l.serverDrainTimeout, func() {
 		l.post(func() {
-			if l.draining[id] {
+			if l.drainingServers[id] {
 				l.handle(balance.ShutdownAnnounced{Server: id})
 			}
 		})
--- a/node/gauges.go
+++ b/node/gauges.go
@@ -8,10 +8,10 @@
 // gaugeInterval is the interval at which gauges are updated.
 const gaugeInterval = 200 * time.Millisecond
 
-// gauges are figures of the loop's state that other goroutines read.
+// gauges expose the loop's state to other goroutines.
 type gauges struct {
-	knownServers    atomic.Int64 // in the endpoint list
-	excludedServers atomic.Int64 // of those, draining or ejected: they get no new connection
+	knownServers    atomic.Int64 // servers in the endpoint list
+	excludedServers atomic.Int64 // of those, draining or ejected ones, which get no new connections
 }
 
 func (l *loop) updateGauges() {
@@ -19,15 +19,15 @@
 	l.gauges.excludedServers.Store(int64(l.balancer.ExcludedServers(l.now())))
 }
 
-// loopCounters count the outcomes of requests and messages.
+// loopCounters count requests and messages by outcome.
 type loopCounters struct {
-	opened   atomic.Int64 // connections of before that are established again
-	served   atomic.Int64
-	refused  atomic.Int64 // requests rejected with BUSY
-	failed   atomic.Int64
-	left     atomic.Int64 // clients that disconnected first
-	moved    atomic.Int64 // clients migrated
-	messages atomic.Int64
-	late     atomic.Int64 // messages over a third of their latency objective
-	dropped  atomic.Int64 // message times that were not measured
+	reconnects          atomic.Int64 // requests of clients that reconnect to their former server
+	served              atomic.Int64
+	rejected            atomic.Int64 // requests rejected with BUSY
+	failed              atomic.Int64
+	disconnected        atomic.Int64 // clients that left before their answer
+	migrated            atomic.Int64 // clients told to connect anew
+	messages            atomic.Int64
+	lateMessages        atomic.Int64 // messages slower than a third of the latency objective
+	droppedMessageTimes atomic.Int64 // discarded because the event queue was full
 }
--- a/node/handover.go
+++ b/node/handover.go
@@ -18,27 +18,27 @@
 
 // Time limits of the hand-over between two processes of one node.
 const (
-	messageTimeout        = time.Second            // one message, or the state that a process starts with
-	pauseTimeout          = 300 * time.Millisecond // a connection pauses between two lines; else it is tried again
-	successorReadyTimeout = 30 * time.Second       // the successor serves; the platform gives up long before
+	messageTimeout        = time.Second            // for one message, or for the complete state
+	pauseTimeout          = 300 * time.Millisecond // for a connection to pause between two lines, before a retry
+	successorReadyTimeout = 30 * time.Second       // for the successor to serve; the platform gives up much earlier
 )
 
-// handoverState is what a node knows of its other process.
+// handoverState is the state of hand-overs between this process and its predecessor or successor.
 type handoverState struct {
-	attending chan struct{}             // a semaphore of one: successors are attended one at a time
-	successor atomic.Pointer[successor] // while it serves
-	counters  struct {
-		given  atomic.Int64 // connections that the successor has accepted
-		taken  atomic.Int64 // connections that this process has accepted
-		faults atomic.Int64 // hand-overs that broke off
+	successorSlot chan struct{}             // a semaphore of one: successors are handled one at a time
+	successor     atomic.Pointer[successor] // the current successor, nil unless one serves
+	counters      struct {
+		handedOver atomic.Int64 // connections that a successor has accepted
+		takenOver  atomic.Int64 // connections that this process has accepted from its predecessor
+		failures   atomic.Int64 // hand-overs that failed
 	}
 
 	mu       sync.Mutex
-	listener *upgrade.Listener // for the successor
-	closed   bool              // no further successor is awaited
+	listener *upgrade.Listener // accepts connections of successors
+	closed   bool              // no further successor is accepted
 }
 
-// The steps of a hand-over, as log lines name them.
+// The steps of a hand-over, as named in log lines.
 const (
 	stepDial        = "dialing the predecessor"
 	stepState       = "transfer of the state"
@@ -51,13 +51,14 @@
 	stepConnections = "transfer to the successor"
 )
 
-// reportHandoverFault counts and logs a hand-over that breaks off. The node goes on as it was.
-func (n *Node) reportHandoverFault(step string, err error) {
-	n.handover.counters.faults.Add(1)
+// reportHandoverFailure counts and logs a failed hand-over. The node continues unchanged.
+func (n *Node) reportHandoverFailure(step string, err error) {
+	n.handover.counters.failures.Add(1)
 	n.log.Warn("hand-over failed", zap.String("at", step), zap.Error(err))
 }
 
-// dialPredecessor connects to the process that serves now and receives its state; nil where there is none.
+// dialPredecessor connects to the serving process and receives its state. Without a predecessor, or if that fails, both
+// results are nil.
 func (n *Node) dialPredecessor() (*upgrade.Link, *inheritedState) {
 	path := upgrade.SocketPath(n.cfg.HandoverDir, n.cfg.Listen)
 	if path == "" {
@@ -67,7 +68,7 @@
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
 	} else if err != nil {
-		n.reportHandoverFault(stepDial, err)
+		n.reportHandoverFailure(stepDial, err)
 		return nil, nil
 	}
 	deadline, state := time.Now().Add(messageTimeout), &inheritedState{}
@@ -75,15 +76,15 @@
 		err = state.receive(link, deadline)
 	}
 	if err != nil {
-		n.reportHandoverFault(stepState, err)
+		n.reportHandoverFailure(stepState, err)
 		link.Close()
 		return nil, nil
 	}
 	return link, state
 }
 
-// releasePredecessor tells the predecessor that this process serves; nil where that is not acknowledged.
-func (n *Node) releasePredecessor(link *upgrade.Link) *upgrade.Link {
+// announceServing notifies the predecessor that this process serves. It returns nil if that is not acknowledged.
+func (n *Node) announceServing(link *upgrade.Link) *upgrade.Link {
 	if link == nil {
 		return nil
 	}
@@ -92,56 +93,57 @@
 		_, _, err = link.Receive(time.Now().Add(messageTimeout))
 	}
 	if err != nil {
-		n.reportHandoverFault(stepSwitch, err)
+		n.reportHandoverFailure(stepSwitch, err)
 		link.Close()
 		return nil
 	}
 	return link
 }
 
-// acceptTransfers takes over established connections until the predecessor ends.
+// acceptTransfers takes over established connections until the predecessor process ends.
 func (n *Node) acceptTransfers(link *upgrade.Link) {
 	defer link.Close()
 	defer context.AfterFunc(n.ctx, link.Close)()
 	for {
-		m, conns, err := link.Receive(time.Time{})
+		message, conns, err := link.Receive(time.Time{})
 		if err != nil {
 			if n.ctx.Err() == nil {
-				n.log.Info("predecessor process has ended", zap.Int64("taken_over", n.handover.counters.taken.Load()))
+				n.log.Info("predecessor process has ended",
+					zap.Int64("taken_over", n.handover.counters.takenOver.Load()))
 			}
 			return
 		}
-		if m.Kind != upgrade.KindConnection {
+		if message.Kind != upgrade.KindConnection {
 			continue
 		}
-		answer := n.acceptTransfer(m.Connection, conns[0], conns[1])
+		answer := n.acceptTransfer(message.Connection, conns[0], conns[1])
 		if err := link.Send(upgrade.Message{Kind: answer}, messageTimeout); err != nil {
-			n.reportHandoverFault(stepAnswer, err)
+			n.reportHandoverFailure(stepAnswer, err)
 			return
 		}
 	}
 }
 
-// acceptTransfer takes over one connection. Where it does not, the predecessor keeps it.
-func (n *Node) acceptTransfer(s *exchange.OpenConnection, client, server *net.TCPConn) (answer upgrade.Kind) {
-	if now, _ := n.lifecycle.current(); now == stopping || !n.adopt(s, client, server) {
+// acceptTransfer takes over one connection, or rejects it, in which case the predecessor keeps it.
+func (n *Node) acceptTransfer(connection *exchange.OpenConnection, client, server *net.TCPConn) (answer upgrade.Kind) {
+	if currentPhase, _ := n.lifecycle.currentPhase(); currentPhase == stopping || !n.adopt(connection, client, server) {
 		client.Close()
 		server.Close()
 		return upgrade.KindRejected
 	}
-	n.handover.counters.taken.Add(1)
+	n.handover.counters.takenOver.Add(1)
 	return upgrade.KindAccepted
 }
 
-// adopt continues an established connection in this process.
-func (n *Node) adopt(s *exchange.OpenConnection, client, server *net.TCPConn) bool {
-	return n.frontend.Inherit(s, client, server, func(x *exchange.Exchange) {
-		n.loop.adopt(x)
-		go x.RelayServer(n.loop.backend.ParseLoadReport)
+// adopt continues an established connection in this process, and reports whether it could.
+func (n *Node) adopt(connection *exchange.OpenConnection, client, server *net.TCPConn) bool {
+	return n.frontend.Inherit(connection, client, server, func(request *exchange.Exchange) {
+		n.loop.adopt(request)
+		go request.RelayServer(n.loop.backend.ParseLoadReport)
 	})
 }
 
-// unexpectedMessageError reports a hand-over message of a kind that its step does not allow.
+// unexpectedMessageError reports a hand-over message of a kind that the current step does not allow.
 type unexpectedMessageError struct{ kind upgrade.Kind }
 
 func (e *unexpectedMessageError) Error() string {
--- a/node/handover_state.go
+++ b/node/handover_state.go
@@ -11,65 +11,66 @@
 	"brassmux/internal/upgrade"
 )
 
-// inheritedState is the state of the predecessor.
+// inheritedState is the state that a process receives from its predecessor.
 type inheritedState struct {
 	endpoints     discovery.EndpointList
-	memory        balance.HandoverState
+	balancerState balance.HandoverState
 	outOfService  bool
-	discoveryAddr string // of the service that published the endpoints
+	discoveryAddr string // of the service that sent the endpoints
 }
 
-// receive collects the state until a deadline.
+// receive receives all messages of the state until a deadline.
 func (s *inheritedState) receive(link *upgrade.Link, deadline time.Time) error {
 	for {
-		m, _, err := link.Receive(deadline)
+		message, _, err := link.Receive(deadline)
 		if err != nil {
 			return err
 		}
-		switch m.Kind {
+		switch message.Kind {
 		case upgrade.KindState:
-			s.add(m)
+			s.appendPart(message)
 		case upgrade.KindStateEnd:
-			s.outOfService, s.discoveryAddr = m.OutOfService, m.DiscoveryAddr
+			s.outOfService, s.discoveryAddr = message.OutOfService, message.DiscoveryAddr
 			return nil
 		default:
-			return &unexpectedMessageError{m.Kind}
+			return &unexpectedMessageError{message.Kind}
 		}
 	}
 }
 
-// add appends one part of the state.
-func (s *inheritedState) add(m *upgrade.Message) {
-	if m.Endpoints != nil {
-		s.endpoints.Version = m.Endpoints.Version
-		s.endpoints.Servers = append(s.endpoints.Servers, m.Endpoints.Servers...)
+// appendPart adds the contents of one message.
+func (s *inheritedState) appendPart(message *upgrade.Message) {
+	if message.Endpoints != nil {
+		s.endpoints.Version = message.Endpoints.Version
+		s.endpoints.Servers = append(s.endpoints.Servers, message.Endpoints.Servers...)
 	}
-	if m.State != nil {
-		s.memory.ConnectionRate, s.memory.RateUpdatedAt = m.State.ConnectionRate, m.State.RateUpdatedAt
-		s.memory.Servers = append(s.memory.Servers, m.State.Servers...)
-		s.memory.Affinities = append(s.memory.Affinities, m.State.Affinities...)
+	if message.State != nil {
+		s.balancerState.ConnectionRate, s.balancerState.RateUpdatedAt = message.State.ConnectionRate,
+			message.State.RateUpdatedAt
+		s.balancerState.Servers = append(s.balancerState.Servers, message.State.Servers...)
+		s.balancerState.Affinities = append(s.balancerState.Affinities, message.State.Affinities...)
 	}
 }
 
-// exportState returns the state of this process as messages, and releases its share of the slow-start budgets to the
-// successor.
+// exportState returns the state of this process as messages to the successor, and releases its share of the slow-start
+// budgets.
 func (l *loop) exportState(isOutOfService bool) (messages []upgrade.Message) {
 	l.call(func() {
-		memory := l.balancer.HandoverState(l.now())
+		balancerState := l.balancer.HandoverState(l.now())
 		l.setReleased(true)
-		for part := range slices.Chunk(slices.Collect(maps.Values(l.servers)), upgrade.MaxEntries) {
+		for chunk := range slices.Chunk(slices.Collect(maps.Values(l.servers)), upgrade.MaxEntries) {
 			messages = append(messages, upgrade.Message{Kind: upgrade.KindState,
-				Endpoints: &discovery.EndpointList{Version: l.version, Full: true, Servers: part}})
+				Endpoints: &discovery.EndpointList{Version: l.listVersion, Full: true, Servers: chunk}})
 		}
-		add := func(m balance.HandoverState) {
-			m.ConnectionRate, m.RateUpdatedAt = memory.ConnectionRate, memory.RateUpdatedAt
-			messages = append(messages, upgrade.Message{Kind: upgrade.KindState, State: &m})
+		appendState := func(state balance.HandoverState) {
+			state.ConnectionRate, state.RateUpdatedAt = balancerState.ConnectionRate, balancerState.RateUpdatedAt
+			messages = append(messages, upgrade.Message{Kind: upgrade.KindState, State: &state})
 		}
-		for part := range slices.Chunk(memory.Servers, upgrade.MaxEntries) {
-			add(balance.HandoverState{Servers: part})
+		for chunk := range slices.Chunk(balancerState.Servers, upgrade.MaxEntries) {
+			appendState(balance.HandoverState{Servers: chunk})
 		}
-		for part := range slices.Chunk(memory.Affinities, upgrade.MaxEntries) {
-			add(balance.HandoverState{Affinities: part})
+		for chunk := range slices.Chunk(balancerState.Affinities, upgrade.MaxEntries) {
+			appendState(balance.HandoverState{Affinities: chunk})
 		}
 		messages = append(messages, upgrade.Message{Kind: upgrade.KindStateEnd, OutOfService: isOutOfService,
 			DiscoveryAddr: l.discoveryAddr})
@@ -77,44 +78,45 @@
 	return messages
 }
 
-// setReleased tells the balancer whether another process of this node uses the slow-start budgets. A process that stops
-// never uses them again.
+// setReleased informs the balancer whether this node's slow-start budgets are used by its successor instead of this
+// process. A process that is stopping never uses them again.
 func (l *loop) setReleased(released bool) {
 	l.handle(balance.HandedOver{ToSuccessor: released || l.isStopping})
 }
 
-// openExchanges returns the requests in progress, established or not.
-func (l *loop) openExchanges() (open []*exchange.Exchange) {
+// openExchanges returns all requests in progress, with and without an established connection.
+func (l *loop) allRequests() (requests []*exchange.Exchange) {
 	l.call(func() {
-		for _, x := range l.open {
-			open = append(open, x)
+		for _, request := range l.requests {
+			requests = append(requests, request)
 		}
 	})
-	return open
+	return requests
 }
 
-// restore starts with the endpoint list of the predecessor.
-func (l *loop) restore(state *inheritedState) {
+// restoreEndpoints replaces the initial endpoint list by that of the predecessor. The state may be nil.
+func (l *loop) restoreEndpoints(state *inheritedState) {
 	if state == nil || len(state.endpoints.Servers) == 0 {
 		return
 	}
-	if state.discoveryAddr == l.discoveryAddr { // another service may number its versions otherwise
-		l.version = state.endpoints.Version
+	if state.discoveryAddr == l.discoveryAddr { // versions of another service are not comparable
+		l.listVersion = state.endpoints.Version
 	}
 	clear(l.servers)
-	clear(l.draining)
+	clear(l.drainingServers)
 	l.updateServers(&state.endpoints)
-	l.initialMembers = state.endpoints.EndpointUpdate(balance.ListCached)
+	l.initialEndpoints = state.endpoints.EndpointUpdate(balance.ListCached)
 }
 
-// adopt tracks an established connection that the predecessor has handed over.
-func (l *loop) adopt(x *exchange.Exchange) {
+// adopt registers an established connection that the predecessor has handed over.
+func (l *loop) adopt(request *exchange.Exchange) {
 	l.post(func() {
-		l.register(x)
-		l.control.HoldConnection(x.ID, customerHash(x.Head), false)
-		l.handle(balance.ExistingConnection{Request: l.balancerRequest(x), Server: x.Server(), Inherited: true})
-		if l.draining[x.Server()] {
-			l.onServerDraining(x.Server())
+		l.register(request)
+		l.control.HoldConnection(request.ID, customerHash(request.Head), false)
+		l.handle(balance.ExistingConnection{Request: l.balancerRequest(request), Server: request.Server(),
+			Inherited: true})
+		if l.drainingServers[request.Server()] {
+			l.onServerDraining(request.Server())
 		}
 	})
 }
--- a/node/handover_test.go
+++ b/node/handover_test.go
@@ -281,14 +281,14 @@
 	h := newTestServer(t, "s-1")
 	change, path := withInheritedSocket(t)
 	n := startNode(t, change, h)
-	n.handover.attending <- struct{}{} // the one before
+	n.handover.successorSlot <- struct{}{} // the one before
 	link := dialAsSuccessor(t, path)
 	sendKind(t, link, upgrade.KindHello)
 	var late net.Error
 	if _, _, err := link.Receive(time.Now().Add(50 * time.Millisecond)); !errors.As(err, &late) || !late.Timeout() {
 		t.Fatalf("it was sent away: %v", err)
 	}
-	<-n.handover.attending
+	<-n.handover.successorSlot
 	for {
 		if m, _ := receiveMessage(t, link); m.Kind == upgrade.KindStateEnd {
 			break
--- a/node/latency.go
+++ b/node/latency.go
@@ -8,44 +8,46 @@
 )
 
 const (
-	lateReportInterval = time.Second // for each server
-	lateFraction       = 3           // a message is late after this part, one third, of its latency objective
+	lateReportInterval = time.Second // per server
+	lateDivisor        = 3           // a message is late after a third of its latency objective
 )
 
-// serverLatency collects the message times of one server since a time of the node's clock.
+// serverLatency collects the message times of one server since the start of the current window, on the node's clock.
 type serverLatency struct {
-	since time.Duration
-	times []time.Duration
+	windowStart  time.Duration
+	messageTimes []time.Duration
 }
 
-// onMessageTime reports a server as late, once in an interval at most, while the median of its message times is.
+// onMessageTime records the time of one message. Once per interval it reports the server to the balancer as late if the
+// median of its message times is late.
 func (l *loop) onMessageTime(id balance.RequestID, server balance.ServerID, elapsed time.Duration) {
 	l.counters.messages.Add(1)
 	if l.isLate(elapsed) {
-		l.counters.late.Add(1)
+		l.counters.lateMessages.Add(1)
 	}
-	s, now := l.latencies[server], l.now()
-	if s == nil {
-		s = &serverLatency{since: now}
-		l.latencies[server] = s
+	latency, now := l.latencies[server], l.now()
+	if latency == nil {
+		latency = &serverLatency{windowStart: now}
+		l.latencies[server] = latency
 	}
-	if s.times = append(s.times, elapsed); now-s.since < lateReportInterval {
+	if latency.messageTimes = append(latency.messageTimes, elapsed); now-latency.windowStart < lateReportInterval {
 		return
 	}
-	slices.Sort(s.times)
-	median := s.times[len(s.times)/2]
-	s.times, s.since = s.times[:0], now
+	slices.Sort(latency.messageTimes)
+	median := latency.messageTimes[len(latency.messageTimes)/2]
+	latency.messageTimes, latency.windowStart = latency.messageTimes[:0], now
 	if l.messageObjective > 0 && l.isLate(median) {
 		l.handle(balance.LateMessage{ID: id, Server: server, Latency: median})
 	}
 }
 
-func (l *loop) isLate(elapsed time.Duration) bool { return elapsed*lateFraction > l.messageObjective }
+// isLate reports whether a message time exceeds a third of the latency objective.
+func (l *loop) isLate(elapsed time.Duration) bool { return elapsed*lateDivisor > l.messageObjective }
 
-// shortestMessageObjective returns the shortest latency objective of messages of any class; 0 where there is none.
-func shortestMessageObjective(c balance.Config) time.Duration {
+// shortestMessageObjective returns the shortest message latency objective of any class, or 0 if no class has one.
+func shortestMessageObjective(config balance.Config) time.Duration {
 	var objectives []time.Duration
-	for _, class := range c.Classes {
+	for _, class := range config.Classes {
 		if class.MessageObjective > 0 {
 			objectives = append(objectives, class.MessageObjective)
 		}
--- a/node/lifecycle.go
+++ b/node/lifecycle.go
@@ -6,9 +6,9 @@
 type phase int
 
 const (
-	starting     phase = iota // the endpoint list and the loop are being brought up
+	starting     phase = iota // the event loop and the endpoint list are being set up
 	serving                   // clients are accepted and served
-	outOfService              // PING is rejected and clients are migrated, but whoever connects is still served
+	outOfService              // PING is rejected and clients are migrated, but new clients are still served
 	stopping                  // graceful shutdown
 )
 
@@ -16,32 +16,32 @@
 	return [...]string{"starting", "serving", "out of service", "stopping"}[p]
 }
 
-// lifecycle is the state of the node that PING, the admin address and the hand-over agree on. A node can be taken out
-// of service while it starts. It is safe for concurrent use.
+// lifecycle is the state of the node that determines the responses to PING, on the admin address and in a hand-over. A
+// node can be taken out of service while it starts. It is safe for concurrent use.
 type lifecycle struct {
-	mu             sync.Mutex
-	started        bool
-	isOutOfService bool
-	isStopping     bool
-	successorRuns  bool          // another process of this node serves in its place
-	changed        chan struct{} // closed at the next change
+	mu                 sync.Mutex
+	isStarted          bool
+	isOutOfService     bool
+	isStopping         bool
+	isSuccessorServing bool          // the next process of this node serves
+	changed            chan struct{} // closed at the next change and then replaced
 }
 
 func newLifecycle() *lifecycle { return &lifecycle{changed: make(chan struct{})} }
 
-// current returns the phase, and a channel that is closed when it may have changed.
-func (l *lifecycle) current() (phase, <-chan struct{}) {
+// currentPhase returns the phase, and a channel that is closed when the phase may have changed.
+func (l *lifecycle) currentPhase() (phase, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.phase(), l.changed
 }
 
-// phase requires l.mu.
+// phase returns the current phase. The caller must hold l.mu.
 func (l *lifecycle) phase() phase {
 	switch {
 	case l.isStopping:
 		return stopping
-	case !l.started:
+	case !l.isStarted:
 		return starting
 	case l.isOutOfService:
 		return outOfService
@@ -49,6 +49,7 @@
 	return serving
 }
 
+// update applies a change and notifies all waiters.
 func (l *lifecycle) update(change func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -56,19 +57,21 @@
 	l.notify()
 }
 
-// notify wakes those who wait for a change. It requires l.mu.
+// notify wakes the goroutines that wait for a change. The caller must hold l.mu.
 func (l *lifecycle) notify() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-func (l *lifecycle) setStarted()  { l.update(func() { l.started = true }) }
+func (l *lifecycle) setStarted()  { l.update(func() { l.isStarted = true }) }
 func (l *lifecycle) setStopping() { l.update(func() { l.isStopping = true }) }
 
-// setSuccessorRuns records whether another process of this node serves.
-func (l *lifecycle) setSuccessorRuns(runs bool) { l.update(func() { l.successorRuns = runs }) }
+// setSuccessorServing records whether the next process of this node serves.
+func (l *lifecycle) setSuccessorServing(isServing bool) {
+	l.update(func() { l.isSuccessorServing = isServing })
+}
 
-// setOutOfService takes the node out of service, or back in. It is idempotent, and false where the node is stopping.
+// setOutOfService takes the node out of service, or puts it back. It returns false if the node is stopping.
 func (l *lifecycle) setOutOfService(out bool) (ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -82,17 +85,17 @@
 	return true
 }
 
-// isReady reports whether this process can serve. A process that is out of service is ready, so that it can be upgraded
-// too.
+// isReady reports whether this process can serve clients. A process that is out of service is ready too, so that it can
+// be upgraded.
 func (l *lifecycle) isReady() bool {
-	now, _ := l.current()
-	return now == serving || now == outOfService
+	currentPhase, _ := l.currentPhase()
+	return currentPhase == serving || currentPhase == outOfService
 }
 
-// acceptsClients reports whether PING is answered with PONG. While this process stops and its successor serves, the
-// node as a whole accepts clients.
+// acceptsClients reports whether PING is answered with PONG. That includes a process that is stopping while its
+// successor serves, since the node then still accepts clients.
 func (l *lifecycle) acceptsClients() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.phase() == serving || l.phase() == stopping && l.successorRuns && !l.isOutOfService
+	return l.phase() == serving || l.phase() == stopping && l.isSuccessorServing && !l.isOutOfService
 }
--- a/node/lifecycle_test.go
+++ b/node/lifecycle_test.go
@@ -8,7 +8,7 @@
 	l := newLifecycle()
 	said := func(ready, welcome bool, now phase) {
 		t.Helper()
-		p, _ := l.current()
+		p, _ := l.currentPhase()
 		if l.isReady() != ready || l.acceptsClients() != welcome || p != now {
 			t.Errorf("%v: ready %v, welcome %v; want %v, %v, %v", p, l.isReady(), l.acceptsClients(), now, ready,
 				welcome)
@@ -21,7 +21,7 @@
 	said(true, false, outOfService)
 	l.setOutOfService(false)
 	said(true, true, serving)
-	_, changed := l.current()
+	_, changed := l.currentPhase()
 	l.setOutOfService(false)
 	select {
 	case <-changed:
@@ -33,6 +33,6 @@
 	if l.setOutOfService(true) || l.setOutOfService(false) {
 		t.Error("orders are taken while it stops")
 	}
-	l.setSuccessorRuns(true) // as a whole the node is there
+	l.setSuccessorServing(true) // as a whole the node is there
 	said(false, true, stopping)
 }
--- a/node/listener.go
+++ b/node/listener.go
@@ -8,39 +8,39 @@
 	"brassmux/internal/transient"
 )
 
-// listenTCP listens on an address. It retries while the system is short of a resource.
+// listenTCP listens on an address. It retries for a while if the system is short of a resource, such as descriptors.
 func listenTCP(addr string) (net.Listener, error) {
 	return transient.RetryValue(func() (net.Listener, error) { return net.Listen("tcp", addr) })
 }
 
-// openListener returns the inherited socket, or opens one.
+// openListener returns the inherited listener if there is one, and otherwise listens on the configured address.
 func (c *Config) openListener() (*net.TCPListener, error) {
 	if c.ListenFD == 0 {
-		l, err := listenTCP(c.Listen)
+		listener, err := listenTCP(c.Listen)
 		if err != nil {
-			return nil, configCause("listen", err)
+			return nil, wrapConfigError("listen", err)
 		}
-		return l.(*net.TCPListener), nil
+		return listener.(*net.TCPListener), nil
 	}
 	return inheritedListener(c.ListenFD)
 }
 
-// inheritedListener makes a listener of an inherited descriptor, which it closes.
+// inheritedListener returns a listener for an inherited descriptor, and closes the descriptor.
 func inheritedListener(fd int) (*net.TCPListener, error) {
-	listens, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
-	if err != nil || listens == 0 {
+	isListening, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
+	if err != nil || isListening == 0 {
 		return nil, newEnvironmentError(listenFDVariable, err, ": descriptor %d is no listening socket", fd)
 	}
-	f := os.NewFile(uintptr(fd), listenFDVariable)
-	defer f.Close() // the listener has a copy
-	l, err := net.FileListener(f)
+	file := os.NewFile(uintptr(fd), listenFDVariable)
+	defer file.Close() // net.FileListener duplicates the descriptor
+	listener, err := net.FileListener(file)
 	if err != nil {
 		return nil, newEnvironmentError(listenFDVariable, err, ": descriptor %d: %v", fd, err)
 	}
-	tcp, ok := l.(*net.TCPListener)
+	tcpListener, ok := listener.(*net.TCPListener)
 	if !ok {
-		l.Close()
-		return nil, newEnvironmentError(listenFDVariable, nil, ": descriptor %d listens on no TCP", fd)
+		listener.Close()
+		return nil, newEnvironmentError(listenFDVariable, nil, ": descriptor %d is not a TCP socket", fd)
 	}
-	return tcp, nil
+	return tcpListener, nil
 }
--- a/node/loop.go
+++ b/node/loop.go
@@ -13,74 +13,75 @@
 	"brassmux/internal/settings"
 )
 
-// listDialFactor multiplies the dial timeout of servers for the discovery service, which may be further away.
+// listDialFactor is the ratio of the dial timeout of the discovery service to that of servers: the service may be
+// further away.
 const listDialFactor = 5
 
-// eventQueueSize bounds the events that wait for the loop. Goroutines with a further one block; the loop never does.
+// eventQueueSize is the capacity of the event queue. Goroutines that post an event block while it is full.
 const eventQueueSize = 1024
 
-// loop owns the balancer and the state of all requests. Its goroutine passes events to the balancer and executes the
-// actions that follow; all methods run in it, unless they say otherwise.
+// loop is the event loop. It owns the balancer and the state of all requests. Its goroutine passes events to the
+// balancer and executes the resulting actions. Methods must be called from that goroutine unless documented otherwise.
 type loop struct {
-	log    *zap.Logger
-	traces bool            // log every event and action
-	events chan func()     // run by the loop's goroutine
-	ctx    context.Context // ends with the loop
-	timers timers
+	log          *zap.Logger
+	logsBalancer bool            // log each event and action of the balancer
+	events       chan func()     // functions for the loop's goroutine to run
+	ctx          context.Context // the loop runs until it is done
+	timers       timers
 	clock
 	wallClockState
-	uptime func() time.Duration // monotonic; replaced in tests of the control plane
+	uptime func() time.Duration // monotonic time since the process start; replaced in tests
 
 	balancer   *balance.Balancer
 	shadow     *shadow // nil without shadow settings
 	invariants invariants
-	control    *control.Manager // nil where nodes share no quotas
+	control    *control.Manager // nil unless quotas are leased
 	backend    *backend.Client
 
 	endpointState
 
-	open             map[balance.RequestID]*exchange.Exchange
-	lastID           balance.RequestID
-	isDraining       bool // the event in hand drains a server or this node
+	requests         map[balance.RequestID]*exchange.Exchange
+	lastRequestID    balance.RequestID
+	isDrainEvent     bool // the current event drains a server or this node
 	isStopping       bool // a graceful shutdown has begun
-	rejectsRequests  bool // the time for answers has run out
+	failsNewRequests bool // the deadline for answers during shutdown has passed
 	latencies        map[balance.ServerID]*serverLatency
-	messageObjective time.Duration // the shortest of any class; 0 for none
+	messageObjective time.Duration // the shortest of any class, 0 if none has one
 
 	exportsGauges bool
 	gauges        gauges
 	counters      loopCounters
-	classes       map[string]*exchange.ClassCounters // not changed after newLoop
+	classCounters map[string]*exchange.ClassCounters // read-only after newLoop
 }
 
 func newLoop(ctx context.Context, cfg *Config, log *zap.Logger) *loop {
-	seed, _ := cfg.parseSeed() // validated
-	b := cfg.Settings.BalanceConfig()
-	b.ClockUntrusted = true
-	b.GossipEnabled = false        // nodes have no transport for it
-	b.LateMessagesReported = false // servers report none over sockets, and may echo at once whatever their load
+	seed, _ := cfg.parseSeed() // was validated by Config.Validate
+	balanceConfig := cfg.Settings.BalanceConfig()
+	balanceConfig.ClockUntrusted = true
+	balanceConfig.GossipEnabled = false        // nodes have no transport for gossip
+	balanceConfig.LateMessagesReported = false // not reported over sockets; servers may echo at once under any load
 	l := &loop{
 		log:              log,
-		traces:           log.Core().Enabled(zap.DebugLevel),
+		logsBalancer:     log.Core().Enabled(zap.DebugLevel),
 		events:           make(chan func(), eventQueueSize),
 		ctx:              ctx,
 		clock:            newClock(&cfg.TestOptions),
-		endpointState:    newEndpointState(cfg, &b),
-		open:             map[balance.RequestID]*exchange.Exchange{},
+		endpointState:    newEndpointState(cfg, &balanceConfig),
+		requests:         map[balance.RequestID]*exchange.Exchange{},
 		latencies:        map[balance.ServerID]*serverLatency{},
-		messageObjective: shortestMessageObjective(b),
+		messageObjective: shortestMessageObjective(balanceConfig),
 		exportsGauges:    cfg.Admin != "",
-		classes:          map[string]*exchange.ClassCounters{},
+		classCounters:    map[string]*exchange.ClassCounters{},
 	}
 	l.uptime = l.sinceStart
 	if cfg.Budgets.Leased {
-		l.control = control.New(cfg.control(&b, uint64(l.epoch)^seed, l.epoch), controlLoop{l}, log)
-		b.SlowStartQuotas = l.control
+		l.control = control.New(cfg.controlConfig(&balanceConfig, uint64(l.epoch)^seed, l.epoch), controlLoop{l}, log)
+		balanceConfig.SlowStartQuotas = l.control
 	}
-	l.balancer = balance.New(b, seed)
-	l.invariants = invariants{classes: b.Classes, log: log}
-	for name := range b.Classes {
-		l.classes[name] = &exchange.ClassCounters{}
+	l.balancer = balance.New(balanceConfig, seed)
+	l.invariants = invariants{classes: balanceConfig.Classes, log: log}
+	for name := range balanceConfig.Classes {
+		l.classCounters[name] = &exchange.ClassCounters{}
 	}
 	l.updateServers(&cfg.InitialEndpoints)
 	if cfg.ShadowSettings != nil {
@@ -89,30 +90,30 @@
 	return l
 }
 
-// newShadow makes a shadow that sets its timers in the loop.
+// newShadow returns a shadow whose timers are those of the loop.
 func newShadow(site *settings.Site, seed uint64, l *loop) *shadow {
-	b := site.BalanceConfig()
-	b.LateMessagesReported, b.GossipEnabled = false, false
+	balanceConfig := site.BalanceConfig()
+	balanceConfig.LateMessagesReported, balanceConfig.GossipEnabled = false, false
 	return &shadow{
-		balancer: balance.New(b, seed),
+		balancer: balance.New(balanceConfig, seed),
 		requests: map[balance.RequestID]*comparison{},
 		setTimer: func(after time.Duration, token uint64) { l.setTimer(after, token, shadowTimer) },
 	}
 }
 
-// run handles events until the loop's context ends. The state of the predecessor may be nil.
+// run handles events until the loop's context is done. state is that of the predecessor, or nil.
 func (l *loop) run(state *inheritedState) {
-	l.restore(state)
-	l.handle(l.initialMembers)
+	l.restoreEndpoints(state)
+	l.handle(l.initialEndpoints)
 	if state != nil {
-		l.balancer.Restore(l.now(), state.memory)
+		l.balancer.Restore(l.now(), state.balancerState)
 	}
 	if l.endpointsPushed {
 		l.subscribe()
 	}
 	l.control.SendRequests()
 	l.control.Tick()
-	expiry := time.NewTimer(0)
+	expiryTimer := time.NewTimer(0)
 	var gaugeTick <-chan time.Time
 	if l.exportsGauges {
 		l.updateGauges()
@@ -122,7 +123,7 @@
 	}
 	for {
 		if len(l.timers) > 0 {
-			expiry.Reset(l.timers[0].at - l.now())
+			expiryTimer.Reset(l.timers[0].at - l.now())
 		}
 		select {
 		case <-l.ctx.Done():
@@ -131,14 +132,14 @@
 			event()
 		case <-gaugeTick:
 			l.updateGauges()
-		case <-expiry.C:
+		case <-expiryTimer.C:
 			l.fireTimers()
 		}
 	}
 }
 
-// post has the loop's goroutine run a function, and blocks while the queue is full. Any goroutine but the loop's may
-// call it. After the loop's end it does nothing.
+// post queues a function for the loop's goroutine, and blocks while the queue is full. Any goroutine except the loop's
+// may call it. After the loop has ended it does nothing.
 func (l *loop) post(event func()) {
 	select {
 	case l.events <- event:
@@ -146,7 +147,7 @@
 	}
 }
 
-// call is post that waits for the function to return.
+// call is like post, but waits until the function has returned.
 func (l *loop) call(event func()) {
 	done := make(chan struct{})
 	l.post(func() {
@@ -159,70 +160,72 @@
 	}
 }
 
-// handle passes an event to the balancer and executes the actions that follow. None of them handles a further event
-// before it returns.
-func (l *loop) handle(ev balance.Event) {
-	if l.traces {
-		l.traceEvent(ev)
+// handle passes an event to the balancer and executes the resulting actions. No action may call handle: further events
+// are posted to the loop.
+func (l *loop) handle(event balance.Event) {
+	if l.logsBalancer {
+		l.traceEvent(event)
 	}
 	if l.shadow != nil {
-		l.shadow.observeEvent(l.now(), ev)
+		l.shadow.observeEvent(l.now(), event)
 	}
-	_, l.isDraining = ev.(balance.ShutdownAnnounced)
-	for _, a := range l.balancer.Handle(l.now(), ev) {
+	_, l.isDrainEvent = event.(balance.ShutdownAnnounced)
+	for _, action := range l.balancer.Handle(l.now(), event) {
 		if l.shadow != nil {
-			l.shadow.observeAction(a)
+			l.shadow.observeAction(action)
 		}
-		if l.traces {
-			l.traceAction(a)
+		if l.logsBalancer {
+			l.traceAction(action)
 		}
-		l.execute(a)
+		l.execute(action)
 	}
 	l.control.SendRequests()
 }
 
-func (l *loop) execute(a balance.Action) {
-	switch a := a.(type) {
+// execute carries out an action of the balancer.
+func (l *loop) execute(action balance.Action) {
+	switch action := action.(type) {
 	case balance.Attempt:
-		l.startAttempt(a)
+		l.startAttempt(action)
 	case balance.Reject:
-		l.reject(a.ID, a.RetryAfter)
+		l.reject(action.ID, action.RetryAfter)
 	case balance.Fail:
-		if x := l.open[a.ID]; x != nil {
-			l.fail(x, "not served")
+		if request := l.requests[action.ID]; request != nil {
+			l.fail(request, "not served")
 		}
 	case balance.Migrate:
-		l.migrate(a.ID)
+		l.migrate(action.ID)
 	case balance.HealthCheck:
-		l.checkHealth(a.Server)
+		l.checkHealth(action.Server)
 	case balance.SetTimer:
-		l.setTimer(a.After, a.Token, balancerTimer)
+		l.setTimer(action.After, action.Token, balancerTimer)
 	case balance.WatchEndpoints:
 		l.subscribe()
 	case balance.Log:
-		l.log.Info(a.Text)
+		l.log.Info(action.Text)
 	}
 }
 
-// migrate asks a client to connect anew. Rebalancing takes a unit of a quota; draining is exempt.
+// migrate makes a client close its connection and open a new one. Rebalancing is limited by a quota, draining is not.
 func (l *loop) migrate(id balance.RequestID) {
-	x := l.open[id]
-	if x == nil {
+	request := l.requests[id]
+	if request == nil {
 		return
 	}
 	migrate := func(ok bool) {
-		if ok && x.Move() {
-			l.counters.moved.Add(1)
+		if ok && request.Move() {
+			l.counters.migrated.Add(1)
 		}
 	}
-	if l.isDraining {
+	if l.isDrainEvent {
 		migrate(true)
 		return
 	}
-	l.control.Acquire(control.Moves, uint64(x.Server()), quotaWait, migrate)
+	l.control.Acquire(control.Moves, uint64(request.Server()), quotaWait, migrate)
 }
 
-// checkHealth sends a health check. Without a unit of its quota the requests that wait for the result go on without.
+// checkHealth sends a health check if the quota allows it. Otherwise it reports a result without a load, so that the
+// requests that wait for it proceed.
 func (l *loop) checkHealth(server balance.ServerID) {
 	l.control.Acquire(control.HealthChecks, uint64(server), quotaWait, func(ok bool) {
 		if !ok {
@@ -233,5 +236,5 @@
 	})
 }
 
-// onHealthCheck may be called from any goroutine but the loop's.
+// onHealthCheck passes the result of a health check to the balancer. Any goroutine except the loop's may call it.
 func (l *loop) onHealthCheck(result balance.HealthCheckResult) { l.post(func() { l.handle(result) }) }
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -7,60 +7,61 @@
 	"brassmux/internal/admin"
 )
 
-// adminNode is the node as the admin address sees it.
-type adminNode struct{ n *Node }
+// adminNode implements admin.Node for the admin address.
+type adminNode struct{ node *Node }
 
 // Ready is part of admin.Node.
-func (a adminNode) Ready() bool { return a.n.lifecycle.isReady() }
+func (a adminNode) Ready() bool { return a.node.lifecycle.isReady() }
 
 // SetOutOfService is part of admin.Node.
-func (a adminNode) SetOutOfService(out bool) bool { return a.n.lifecycle.setOutOfService(out) }
+func (a adminNode) SetOutOfService(out bool) bool { return a.node.lifecycle.setOutOfService(out) }
 
 // Metrics is part of admin.Node.
 func (a adminNode) Metrics() admin.Metrics {
-	l := a.n.loop
-	m := admin.Metrics{
+	l := a.node.loop
+	metrics := admin.Metrics{
 		Requests:        map[string]admin.RequestCounts{},
 		Attempts:        l.backend.Counters.FirstLinesSent.Load(),
-		InFlight:        int64(a.n.frontend.OpenRequests()),
+		InFlight:        int64(a.node.frontend.OpenRequests()),
 		KnownServers:    l.gauges.knownServers.Load(),
 		ExcludedServers: l.gauges.excludedServers.Load(),
 	}
-	for name, t := range l.classes {
-		m.Requests[name] = admin.RequestCounts{Served: t.Served.Load(), Rejected: t.Rejected.Load(),
-			Failed: t.Failed.Load()}
+	for name, counters := range l.classCounters {
+		metrics.Requests[name] = admin.RequestCounts{Served: counters.Served.Load(), Rejected: counters.Rejected.Load(),
+			Failed: counters.Failed.Load()}
 	}
-	return m
+	return metrics
 }
 
-// Counters returns the node's counters as fields of a log line, in a fixed order. All but the gauges only grow.
+// Counters returns the node's counters as fields of a log line, in a fixed order. All except the gauges only increase.
 func (n *Node) Counters() []zap.Field {
-	f, b, d, l := &n.frontend.Counters, &n.loop.backend.Counters, &n.loop.discovery.Counters, &n.loop.counters
+	frontendCounters, backendCounters, discoveryCounters, loopCounters := &n.frontend.Counters,
+		&n.loop.backend.Counters, &n.loop.discovery.Counters, &n.loop.counters
 	fields := []zap.Field{}
 	add := func(name string, value int64) { fields = append(fields, zap.Int64(name, value)) }
-	add("connections", f.Accepted.Load())
-	add("accept_errors", f.AcceptErrors.Load())
-	add("pings", f.Pings.Load())
-	add("malformed", f.Malformed.Load())
-	add("no_room", f.AtCapacity.Load())
-	add("requests", f.Requests.Load())
-	add("standing_before", l.opened.Load())
-	add("attempts", b.Attempts.Load())
-	add("probes", b.HealthChecks.Load())
-	add("list_calls", d.Calls.Load())
-	add("list_failed", d.Failures.Load())
-	add("list_changes", d.WatchEvents.Load())
-	add("served", l.served.Load())
-	add("refused", l.refused.Load())
-	add("failed", l.failed.Load())
-	add("left", l.left.Load())
-	add("moved", l.moved.Load())
-	add("handed_over", n.handover.counters.given.Load())
-	add("taken_over", n.handover.counters.taken.Load())
-	add("handover_faults", n.handover.counters.faults.Load())
-	add("messages", l.messages.Load())
-	add("messages_late", l.late.Load())
-	add("messages_dropped", l.dropped.Load())
+	add("connections", frontendCounters.Accepted.Load())
+	add("accept_errors", frontendCounters.AcceptErrors.Load())
+	add("pings", frontendCounters.Pings.Load())
+	add("malformed", frontendCounters.Malformed.Load())
+	add("no_room", frontendCounters.AtCapacity.Load())
+	add("requests", frontendCounters.Requests.Load())
+	add("standing_before", loopCounters.reconnects.Load())
+	add("attempts", backendCounters.Attempts.Load())
+	add("probes", backendCounters.HealthChecks.Load())
+	add("list_calls", discoveryCounters.Calls.Load())
+	add("list_failed", discoveryCounters.Failures.Load())
+	add("list_changes", discoveryCounters.WatchEvents.Load())
+	add("served", loopCounters.served.Load())
+	add("refused", loopCounters.rejected.Load())
+	add("failed", loopCounters.failed.Load())
+	add("left", loopCounters.disconnected.Load())
+	add("moved", loopCounters.migrated.Load())
+	add("handed_over", n.handover.counters.handedOver.Load())
+	add("taken_over", n.handover.counters.takenOver.Load())
+	add("handover_faults", n.handover.counters.failures.Load())
+	add("messages", loopCounters.messages.Load())
+	add("messages_late", loopCounters.lateMessages.Load())
+	add("messages_dropped", loopCounters.droppedMessageTimes.Load())
 	if n.admin != nil {
 		add("admin_callers", n.admin.Counters.Connections.Load())
 		add("admin_calls", n.admin.Counters.Calls.Load())
@@ -68,17 +69,18 @@
 		add("admin_accept_errors", n.admin.Counters.AcceptErrors.Load())
 	}
 	n.loop.invariants.counters(add)
-	add("rule_unanswered", f.Unanswered.Load())
+	add("rule_unanswered", frontendCounters.Unanswered.Load())
 	n.loop.control.Counters(add)
-	for i, name := range outcomes {
-		add("attempts_"+name, b.Outcomes[i].Load())
+	for i, name := range outcomeNames {
+		add("attempts_"+name, backendCounters.Outcomes[i].Load())
 	}
-	if s := n.loop.shadow; s != nil {
-		s.counters(add)
+	if shadow := n.loop.shadow; shadow != nil {
+		shadow.counters(add)
 	}
 	return fields
 }
 
-var outcomes = [...]string{balance.ServerError: "error", balance.OK: "ok", balance.AtCapacity: "full",
+// outcomeNames are the names of the outcomes of attempts in counters and log lines.
+var outcomeNames = [...]string{balance.ServerError: "error", balance.OK: "ok", balance.AtCapacity: "full",
 	balance.TimedOut: "timed_out", balance.ConnectFailed: "connect_failed", balance.Reset: "reset",
 	balance.Cancelled: "cancelled", balance.Abandoned: "moot", balance.NotSent: "unsent"}
--- a/node/node.go
+++ b/node/node.go
@@ -1,13 +1,13 @@
-// Package node is the embeddable library of the balancer: a process that accepts clients on a TCP address and connects
-// each to a server. It owns the lifecycle of the process, the event loop, the endpoint list, the hand-over between two
-// processes of one node, and the invariants that no attempt may violate.
+// Package node is the embeddable library of the balancer. A node accepts clients on a TCP address and connects each of
+// them to a server. The package contains the lifecycle of the process, the event loop, the endpoint list, the hand-over
+// between two processes of one node, and the invariants that no attempt may violate.
 //
-// Decisions are left to package balance, quotas that nodes share to internal/control, and the bytes of clients and
-// servers to internal/frontend, internal/backend and internal/exchange. The loop's goroutine owns the balancer and all
-// state of requests; other goroutines pass functions to it.
+// Package balance makes the balancing decisions. Quotas that nodes share are in internal/control, and the connections
+// of clients and servers are in internal/frontend, internal/backend and internal/exchange. The goroutine of the event
+// loop owns the balancer and the state of all requests; other goroutines post functions to it.
 //
-// Load reads a configuration, New checks it and listens, and Node.Run serves until its context ends, then migrates all
-// clients before it returns.
+// Load reads a configuration, New validates it and listens, and Node.Run serves until its context is done and then
+// migrates all clients before it returns.
 package node
 
 import (
@@ -27,8 +27,8 @@
 	"brassmux/internal/settings"
 )
 
-// Node is one process of a node. Make it with New. Its methods are safe for concurrent use, except for Run, which is
-// called once.
+// Node is one process of a node. Use New to create one. Its methods are safe for concurrent use, except for Run, which
+// must be called only once.
 type Node struct {
 	cfg           Config
 	log           *zap.Logger
@@ -39,12 +39,12 @@
 	frontend      *frontend.Server
 	admin         *admin.Server   // nil without an admin address
 	adminListener net.Listener    // nil without an admin address
-	ctx           context.Context // ends when Run has served
+	ctx           context.Context // canceled when the shutdown is complete
 	cancel        context.CancelFunc
 }
 
-// New validates the configuration and listens on its addresses. A nil logger discards all lines. Errors are of type
-// *ConfigError or *EnvironmentError, but for those of peer addresses that cannot be listened on.
+// New validates the configuration and listens on its addresses. A nil logger disables logging. Errors are of type
+// *ConfigError or *EnvironmentError, except for errors of listening on the peer addresses.
 func New(cfg Config, log *zap.Logger) (_ *Node, err error) {
 	if log == nil {
 		log = zap.NewNop()
@@ -58,7 +58,7 @@
 			n.closeListeners()
 		}
 	}()
-	n.handover.attending = make(chan struct{}, 1)
+	n.handover.successorSlot = make(chan struct{}, 1)
 	if n.listener, err = cfg.openListener(); err != nil {
 		return nil, err
 	}
@@ -67,18 +67,18 @@
 	}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	n.loop = newLoop(n.ctx, &n.cfg, n.log)
-	requests, withoutRequest, healthChecks := cfg.connectionLimits()
-	n.loop.backend = backend.New(cfg.backend(healthChecks), n.loop, n.loop.onHealthCheck)
+	requests, handshakes, healthChecks := cfg.connectionLimits()
+	n.loop.backend = backend.New(cfg.backendConfig(healthChecks), n.loop, n.loop.onHealthCheck)
 	if n.loop.control != nil {
 		if err := n.loop.control.Listen(); err != nil {
 			return nil, err
 		}
 	}
-	n.frontend = frontend.New(n.frontendConfig(requests, withoutRequest), n.log, n.loop, n.loop.onRequest)
+	n.frontend = frontend.New(n.frontendConfig(requests, handshakes), n.log, n.loop, n.loop.onRequest)
 	return n, nil
 }
 
-// closeListeners closes the sockets that New has opened.
+// closeListeners closes the listeners that New has opened.
 func (n *Node) closeListeners() {
 	if n.listener != nil {
 		n.listener.Close()
@@ -88,13 +88,13 @@
 	}
 }
 
-// openAdmin listens on the admin address, if there is one.
+// openAdmin listens on the admin address if one is configured.
 func (n *Node) openAdmin() (err error) {
 	if n.cfg.Admin == "" {
 		return nil
 	}
 	if n.adminListener, err = listenTCP(n.cfg.Admin); err != nil {
-		return configCause(adminKey, err)
+		return wrapConfigError(adminKey, err)
 	}
 	limits := admin.Limits{MaxConnections: n.cfg.adminConnectionLimit(),
 		CallTimeout: milliseconds(n.cfg.Timeouts.FirstLineMS)}
@@ -102,8 +102,8 @@
 	return nil
 }
 
-// backend returns the configuration of connections to servers.
-func (c *Config) backend(healthChecks int) backend.Config {
+// backendConfig returns the configuration of connections to servers.
+func (c *Config) backendConfig(healthChecks int) backend.Config {
 	return backend.Config{
 		DialTimeout:         settings.Microseconds(c.Settings.Limits.DialTimeoutMicros),
 		LocalAddr:           c.sourceAddr(),
@@ -116,18 +116,18 @@
 }
 
 // frontendConfig returns the configuration of connections from clients.
-func (n *Node) frontendConfig(requests, withoutRequest int) frontend.Config {
-	t := &n.cfg.Timeouts
+func (n *Node) frontendConfig(requests, handshakes int) frontend.Config {
+	timeouts := &n.cfg.Timeouts
 	return frontend.Config{
-		FirstLineTimeout: milliseconds(t.FirstLineMS),
+		FirstLineTimeout: milliseconds(timeouts.FirstLineMS),
 		MaxRequests:      requests,
-		MaxHandshakes:    withoutRequest,
-		ClassCounters:    func(name []byte) *exchange.ClassCounters { return n.loop.classes[string(name)] },
+		MaxHandshakes:    handshakes,
+		ClassCounters:    func(name []byte) *exchange.ClassCounters { return n.loop.classCounters[string(name)] },
 		IsInService:      n.lifecycle.acceptsClients,
 		ExchangeLimits: exchange.Limits{
-			Silence:      milliseconds(t.ResponseSilenceMS),
-			LateNotice:   milliseconds(t.LateNoticeMS),
-			CloseTimeout: milliseconds(t.CloseMS),
+			Silence:      milliseconds(timeouts.ResponseSilenceMS),
+			LateNotice:   milliseconds(timeouts.LateNoticeMS),
+			CloseTimeout: milliseconds(timeouts.CloseMS),
 		},
 	}
 }
@@ -135,20 +135,20 @@
 // Addr returns the address on which clients connect.
 func (n *Node) Addr() net.Addr { return n.listener.Addr() }
 
-// ApplyLimits applies the configured cores and memory to the Go runtime of this process. A program that embeds a node
-// beside other work does not call it.
+// ApplyLimits applies the configured cores and memory to the Go runtime of this process. A program that does other work
+// besides running a node should not call it.
 func (n *Node) ApplyLimits() {
 	if cores := n.cfg.Limits.Cores; cores > 0 {
 		runtime.GOMAXPROCS(max(int(cores), 1))
 	}
 	if mb := n.cfg.Limits.MemoryMB; mb > 0 {
-		debug.SetMemoryLimit(mb << 20 * 3 / 4) // the rest is for buffers of the kernel and for peaks
+		debug.SetMemoryLimit(mb << 20 * 3 / 4) // the rest is for kernel buffers and peaks
 	}
 }
 
-// Reload applies what a new configuration may change while the node serves: the discovery address, and the addresses of
-// its control machines. Other changes take effect at the next start, and are named in the log. An invalid configuration
-// changes nothing; the error is a *ConfigError.
+// Reload applies the parts of a new configuration that can change while the node serves: the discovery address and the
+// addresses of the control machines. Other changes take effect at the next start and are logged. An invalid
+// configuration changes nothing, and the error is a *ConfigError.
 func (n *Node) Reload(cfg Config) error {
 	if err := cfg.validate(); err != nil {
 		return err
@@ -177,7 +177,7 @@
 	return nil
 }
 
-// reloadControlMachines follows other control machines, on a node below some.
+// reloadControlMachines switches a node that is below control machines to other control machines.
 func (n *Node) reloadControlMachines(addrs []string) {
 	old := n.cfg.Peers.ControlAddrs
 	if n.loop.control == nil || len(old) == 0 || len(addrs) == 0 || slices.Equal(old, addrs) {
--- a/node/reconnect.go
+++ b/node/reconnect.go
@@ -10,47 +10,47 @@
 	"brassmux/internal/settings"
 )
 
-// reconnectInterval is the pause between two attempts to connect a client to its former server.
+// reconnectInterval is the delay between two attempts to connect a client to its former server.
 const reconnectInterval = 200 * time.Millisecond
 
-// reconnect connects a client to the server that it names, without a decision of the balancer, which learns of the
-// established connection. While no list has named the server, the client waits.
-func (l *loop) reconnect(x *exchange.Exchange) {
-	if !x.AwaitsAnswer() { // the client has left meanwhile
+// reconnect connects a client to its former server, which the request names. The balancer makes no decision, but is
+// informed of the established connection. While the server is not in the endpoint list, the client waits.
+func (l *loop) reconnect(request *exchange.Exchange) {
+	if !request.AwaitsAnswer() { // the client has left in the meantime
 		return
 	}
-	id := balance.ServerID(settings.HashServerID(string(x.Head.PreviousServer)))
+	id := balance.ServerID(settings.HashServerID(string(request.Head.PreviousServer)))
 	addr := l.servers[id].Addr
 	if addr == "" {
-		l.awaitingServer = append(l.awaitingServer, x)
-		time.AfterFunc(time.Until(x.Deadline), func() { l.post(func() { l.failAwaitingServer(x) }) })
+		l.awaitingServer = append(l.awaitingServer, request)
+		time.AfterFunc(time.Until(request.Deadline), func() { l.post(func() { l.failAwaitingServer(request) }) })
 		return
 	}
 	l.control.Acquire(control.Connects, uint64(id), quotaWait, func(ok bool) {
 		if !ok {
-			l.onReconnectFailed(x, balance.Abandoned)
+			l.onReconnectFailed(request, balance.Abandoned)
 			return
 		}
 		attempt := exchange.Attempt{Server: id, Addr: addr, ServerStartedAtMillis: l.servers[id].StartedAtMillis,
 			SendBy: l.control.SendDeadline(control.Connects)}
-		l.backend.Attempt(x, attempt, 0)
+		l.backend.Attempt(request, attempt, 0)
 	})
 	l.control.SendRequests()
 }
 
-// failAwaitingServer fails a client whose server no list has named in time.
-func (l *loop) failAwaitingServer(x *exchange.Exchange) {
-	if i := slices.Index(l.awaitingServer, x); i >= 0 {
-		l.awaitingServer = slices.Delete(l.awaitingServer, i, i+1)
-		l.fail(x, "no such server")
+// failAwaitingServer fails a request whose server has not appeared in the endpoint list in time.
+func (l *loop) failAwaitingServer(request *exchange.Exchange) {
+	if index := slices.Index(l.awaitingServer, request); index >= 0 {
+		l.awaitingServer = slices.Delete(l.awaitingServer, index, index+1)
+		l.fail(request, "no such server")
 	}
 }
 
-// onReconnectFailed retries while there is time and the server has not seen the client, and else fails it.
-func (l *loop) onReconnectFailed(x *exchange.Exchange, outcome balance.Outcome) {
-	if outcome.NotExecuted() && time.Until(x.Deadline) > reconnectInterval {
-		time.AfterFunc(reconnectInterval, func() { l.post(func() { l.reconnect(x) }) })
+// onReconnectFailed retries a request if the server has not seen it and the deadline allows it, and otherwise fails it.
+func (l *loop) onReconnectFailed(request *exchange.Exchange, outcome balance.Outcome) {
+	if outcome.NotExecuted() && time.Until(request.Deadline) > reconnectInterval {
+		time.AfterFunc(reconnectInterval, func() { l.post(func() { l.reconnect(request) }) })
 		return
 	}
-	l.fail(x, "not up again")
+	l.fail(request, "not up again")
 }
--- a/node/requests.go
+++ b/node/requests.go
@@ -12,31 +12,31 @@
 	"brassmux/internal/exchange"
 )
 
-// onRequest takes a new request. Any goroutine but the loop's may call it.
-func (l *loop) onRequest(x *exchange.Exchange) {
+// onRequest handles a new request. Any goroutine except the loop's may call it.
+func (l *loop) onRequest(request *exchange.Exchange) {
 	l.post(func() {
-		if !x.AwaitsAnswer() { // the client has left, or was rejected
+		if !request.AwaitsAnswer() { // the client has left or was rejected
 			return
 		}
-		l.register(x)
+		l.register(request)
 		switch {
-		case l.rejectsRequests:
-			l.rejectWhileStopping(x)
-		case len(x.Head.PreviousServer) > 0:
-			l.counters.opened.Add(1)
-			l.control.HoldConnection(x.ID, customerHash(x.Head), false)
-			l.reconnect(x)
+		case l.failsNewRequests:
+			l.failWhileStopping(request)
+		case len(request.Head.PreviousServer) > 0:
+			l.counters.reconnects.Add(1)
+			l.control.HoldConnection(request.ID, customerHash(request.Head), false)
+			l.reconnect(request)
 		default:
-			l.admit(x)
+			l.admit(request)
 			l.control.SendRequests()
 		}
 	})
 }
 
-// admit passes a request on once its customer's quotas allow it, and else rejects it.
-func (l *loop) admit(x *exchange.Exchange) {
-	customer := customerHash(x.Head)
-	reject := func() { l.reject(x.ID, l.control.RetryAfter()) }
+// admit passes a request to the balancer if the quotas of its customer allow it, and otherwise rejects it.
+func (l *loop) admit(request *exchange.Exchange) {
+	customer := customerHash(request.Head)
+	reject := func() { l.reject(request.ID, l.control.RetryAfter()) }
 	l.control.Acquire(control.Opens, customer, quotaWait, func(ok bool) {
 		if !ok {
 			reject()
@@ -47,136 +47,141 @@
 				reject()
 				return
 			}
-			l.onAdmitted(x, customer)
+			l.onAdmitted(request, customer)
 		})
 	})
 }
 
-func (l *loop) onAdmitted(x *exchange.Exchange, customer uint64) {
-	l.control.HoldConnection(x.ID, customer, true)
-	if l.open[x.ID] == nil { // the client has left meanwhile
-		l.control.ReleaseConnection(x.ID)
+// onAdmitted passes a request to the balancer after its customer's quotas have been acquired.
+func (l *loop) onAdmitted(request *exchange.Exchange, customer uint64) {
+	l.control.HoldConnection(request.ID, customer, true)
+	if l.requests[request.ID] == nil { // the client has left while it waited for the quotas
+		l.control.ReleaseConnection(request.ID)
 		return
 	}
-	l.handle(l.balancerRequest(x))
+	l.handle(l.balancerRequest(request))
 }
 
-// customerHash identifies the customer of a request for the quotas of each customer.
-func customerHash(h *exchange.Head) uint64 {
-	if len(h.Group) > 0 {
-		return xxhash.Sum64(h.Group)
+// customerHash identifies the customer of a request for the quotas that apply per customer.
+func customerHash(head *exchange.Head) uint64 {
+	if len(head.Group) > 0 {
+		return xxhash.Sum64(head.Group)
 	}
-	return xxhash.Sum64(h.Key)
+	return xxhash.Sum64(head.Key)
 }
 
-// register assigns a request its ID.
-func (l *loop) register(x *exchange.Exchange) {
-	l.lastID++
-	x.ID = l.lastID
-	l.open[x.ID] = x
+// register assigns an ID to a request and stores it.
+func (l *loop) register(request *exchange.Exchange) {
+	l.lastRequestID++
+	request.ID = l.lastRequestID
+	l.requests[request.ID] = request
 }
 
-func (l *loop) forget(id balance.RequestID) *exchange.Exchange {
-	x := l.open[id]
-	delete(l.open, id)
+// unregister removes a request and releases its customer's quota. It returns nil if the request is not registered.
+func (l *loop) unregister(id balance.RequestID) *exchange.Exchange {
+	request := l.requests[id]
+	delete(l.requests, id)
 	l.control.ReleaseConnection(id)
-	return x
+	return request
 }
 
-func (l *loop) balancerRequest(x *exchange.Exchange) balance.Request {
-	h := x.Head
-	return balance.Request{ID: x.ID, Class: string(h.Class), ClientKey: string(h.Key), Group: string(h.Group),
-		Timeout: time.Until(x.Deadline), Reconnect: h.IsRepeat}
+// balancerRequest returns a request in the form that the balancer takes.
+func (l *loop) balancerRequest(request *exchange.Exchange) balance.Request {
+	head := request.Head
+	return balance.Request{ID: request.ID, Class: string(head.Class), ClientKey: string(head.Key),
+		Group: string(head.Group), Timeout: time.Until(request.Deadline), Reconnect: head.IsRepeat}
 }
 
-// reject answers BUSY, with the time after which to retry unless that is 0.
+// reject answers a request with BUSY, and with the time after which to retry unless that is 0.
 func (l *loop) reject(id balance.RequestID, retryAfter time.Duration) {
-	x := l.forget(id)
-	if x == nil {
+	request := l.unregister(id)
+	if request == nil {
 		return
 	}
-	line := "BUSY"
+	response := "BUSY"
 	if ms := retryAfter.Milliseconds(); ms > 0 {
-		line += " " + strconv.FormatInt(ms, 10)
+		response += " " + strconv.FormatInt(ms, 10)
 	}
-	l.counters.refused.Add(1)
-	x.Answer(exchange.Rejected, line)
+	l.counters.rejected.Add(1)
+	request.Answer(exchange.Rejected, response)
 }
 
-// fail answers ERR: the request may have run.
-func (l *loop) fail(x *exchange.Exchange, reason string) {
-	l.forget(x.ID)
+// fail answers a request with ERR, which implies that it may have been executed.
+func (l *loop) fail(request *exchange.Exchange, reason string) {
+	l.unregister(request.ID)
 	l.counters.failed.Add(1)
-	x.Answer(exchange.Failed, "ERR "+reason)
+	request.Answer(exchange.Failed, "ERR "+reason)
 }
 
-// rejectAll fails every request without an answer, now and from now on, as the process is about to end.
-func (l *loop) rejectAll() {
-	l.rejectsRequests = true
-	for _, x := range l.open {
-		if x.AwaitsAnswer() {
-			l.rejectWhileStopping(x)
+// failUnanswered fails all requests without an answer, and all later requests, because the process is about to end.
+func (l *loop) failUnanswered() {
+	l.failsNewRequests = true
+	for _, request := range l.requests {
+		if request.AwaitsAnswer() {
+			l.failWhileStopping(request)
 		}
 	}
 }
 
-func (l *loop) rejectWhileStopping(x *exchange.Exchange) {
-	l.fail(x, "stopping")
-	l.handle(balance.ClientDisconnected{ID: x.ID})
+// failWhileStopping fails a request because the process is about to end.
+func (l *loop) failWhileStopping(request *exchange.Exchange) {
+	l.fail(request, "stopping")
+	l.handle(balance.ClientDisconnected{ID: request.ID})
 }
 
 // Left is part of exchange.Sink.
-func (l *loop) Left(x *exchange.Exchange) {
+func (l *loop) Left(request *exchange.Exchange) {
 	l.post(func() {
-		l.counters.left.Add(1)
-		if x.ID == 0 { // not registered
+		l.counters.disconnected.Add(1)
+		if request.ID == 0 { // not registered
 			return
 		}
-		l.forget(x.ID) // without an attempt in flight no Closed follows
-		if i := slices.Index(l.awaitingServer, x); i >= 0 {
-			l.awaitingServer = slices.Delete(l.awaitingServer, i, i+1)
+		l.unregister(request.ID) // Closed would do it only if an attempt is in flight
+		if index := slices.Index(l.awaitingServer, request); index >= 0 {
+			l.awaitingServer = slices.Delete(l.awaitingServer, index, index+1)
 		}
-		l.handle(balance.ClientDisconnected{ID: x.ID})
+		l.handle(balance.ClientDisconnected{ID: request.ID})
 	})
 }
 
 // Accepted is part of exchange.Sink.
-func (l *loop) Accepted(x *exchange.Exchange, a exchange.Attempt, elapsed time.Duration) {
+func (l *loop) Accepted(request *exchange.Exchange, attempt exchange.Attempt, elapsed time.Duration) {
 	l.post(func() {
 		l.counters.served.Add(1)
-		if len(x.Head.PreviousServer) > 0 {
-			l.handle(balance.ExistingConnection{Request: l.balancerRequest(x), Server: a.Server})
+		if len(request.Head.PreviousServer) > 0 {
+			l.handle(balance.ExistingConnection{Request: l.balancerRequest(request), Server: attempt.Server})
 		} else {
-			l.handle(balance.AttemptAccepted{ID: x.ID, Attempt: a.Number, Server: a.Server, Elapsed: elapsed})
+			l.handle(balance.AttemptAccepted{ID: request.ID, Attempt: attempt.Number, Server: attempt.Server,
+				Elapsed: elapsed})
 		}
-		if l.draining[a.Server] { // since the attempt was sent
-			l.onServerDraining(a.Server)
+		if l.drainingServers[attempt.Server] { // it began to drain after the attempt was sent
+			l.onServerDraining(attempt.Server)
 		}
 	})
 }
 
 // Closed is part of exchange.Sink.
-func (l *loop) Closed(x *exchange.Exchange, a exchange.Attempt, outcome balance.Outcome, elapsed time.Duration,
-	report *balance.LoadReport) {
+func (l *loop) Closed(request *exchange.Exchange, attempt exchange.Attempt, outcome balance.Outcome,
+	elapsed time.Duration, report *balance.LoadReport) {
 	l.post(func() {
-		l.invariants.attemptEnded(x, outcome, elapsed)
-		unanswered := x.AwaitsAnswer()
-		if unanswered && len(x.Head.PreviousServer) > 0 {
-			l.onReconnectFailed(x, outcome)
+		l.invariants.attemptEnded(request, outcome, elapsed)
+		isUnanswered := request.AwaitsAnswer()
+		if isUnanswered && len(request.Head.PreviousServer) > 0 {
+			l.onReconnectFailed(request, outcome)
 			return
-		} else if !unanswered {
-			l.forget(x.ID)
+		} else if !isUnanswered {
+			l.unregister(request.ID)
 		}
-		l.handle(balance.AttemptEnded{ID: x.ID, Attempt: a.Number, Server: a.Server, Outcome: outcome,
-			Elapsed: elapsed, Final: !unanswered, Report: report, GoAway: x.IsMovedByServer()})
+		l.handle(balance.AttemptEnded{ID: request.ID, Attempt: attempt.Number, Server: attempt.Server, Outcome: outcome,
+			Elapsed: elapsed, Final: !isUnanswered, Report: report, GoAway: request.IsMovedByServer()})
 	})
 }
 
-// Message is part of exchange.Sink. A measurement is dropped while the queue is full.
-func (l *loop) Message(x *exchange.Exchange, server balance.ServerID, elapsed time.Duration) {
+// Message is part of exchange.Sink. It drops the measurement if the event queue is full.
+func (l *loop) Message(request *exchange.Exchange, server balance.ServerID, elapsed time.Duration) {
 	select {
-	case l.events <- func() { l.onMessageTime(x.ID, server, elapsed) }:
+	case l.events <- func() { l.onMessageTime(request.ID, server, elapsed) }:
 	default:
-		l.counters.dropped.Add(1)
+		l.counters.droppedMessageTimes.Add(1)
 	}
 }
--- a/node/run.go
+++ b/node/run.go
@@ -9,18 +9,18 @@
 	"brassmux/balance"
 )
 
-// migrationInterval is the interval at which a node that migrates its clients looks for newly established connections.
+// migrationInterval is the interval at which a node that migrates its clients checks for newly established connections.
 const migrationInterval = 50 * time.Millisecond
 
-// Run serves until ctx ends and then shuts down gracefully, within the configured time. It returns nil.
+// Run serves until ctx is done and then shuts down gracefully, within the configured time. It returns nil.
 //
-// During the shutdown clients are accepted for a while, unless the socket is inherited: what waits there is the next
-// process's. Established connections are handed over to the next process of this node, or else migrated: at once where
-// there are other nodes, and shortly before the time runs out where there are none. Requests still without an answer
-// then get a final one.
+// During the shutdown clients are still accepted for a while, unless the socket is inherited: the next process accepts
+// the connections that wait on an inherited socket. Established connections are handed over to the next process of this
+// node if there is one. Otherwise they are migrated: at once if other nodes can take them, and shortly before the time
+// limit if there are none. Requests that are still unanswered then get a final answer.
 func (n *Node) Run(ctx context.Context) error {
 	defer n.cancel()
-	if n.admin != nil { // opened before all else, and closed last
+	if n.admin != nil { // started first and closed last
 		go n.admin.Serve(n.adminListener)
 		defer n.admin.Close()
 	}
@@ -40,7 +40,7 @@
 	if state != nil && state.outOfService {
 		n.lifecycle.setOutOfService(true)
 	}
-	predecessor = n.releasePredecessor(predecessor)
+	predecessor = n.announceServing(predecessor)
 	n.lifecycle.setStarted()
 	if predecessor != nil {
 		go n.acceptTransfers(predecessor)
@@ -59,13 +59,13 @@
 	return nil
 }
 
-// isOnlyNode reports whether no other node takes the clients that this one migrates.
+// isOnlyNode reports whether there is no other node to take the clients that this one migrates.
 func (n *Node) isOnlyNode() bool { return n.cfg.Settings.NodeCount <= 1 }
 
-// serveUntil serves until ctx ends, and migrates clients while the node is out of service.
+// serveUntil serves until ctx is done, and migrates clients while the node is out of service.
 func (n *Node) serveUntil(ctx context.Context) {
 	for {
-		phase, changed := n.lifecycle.current()
+		phase, changed := n.lifecycle.currentPhase()
 		if phase == outOfService {
 			n.log.Info("out of service")
 			if n.migrateClients(ctx); ctx.Err() != nil {
@@ -82,17 +82,17 @@
 	}
 }
 
-// migrateClients migrates all clients, and those who still come, until the node is back in service. It begins after a
-// pause, as the load balancer in front notices only then that PING is rejected, and would send clients straight back.
+// migrateClients migrates all clients, including new ones, until the node is back in service. It begins after a pause:
+// until the load balancer in front has noticed that PING is rejected, it would send migrated clients back.
 func (n *Node) migrateClients(ctx context.Context) {
 	pause := n.cfg.Timeouts.AcceptAfterStopMS
 	if n.isOnlyNode() {
 		pause = max(pause, n.cfg.Timeouts.OutOfServiceMS-n.cfg.Timeouts.CloseMS)
 	}
-	paused, ticker := time.After(milliseconds(pause)), time.NewTicker(migrationInterval)
+	pauseOver, ticker := time.After(milliseconds(pause)), time.NewTicker(migrationInterval)
 	defer ticker.Stop()
-	for migrating := false; ; {
-		phase, changed := n.lifecycle.current()
+	for isMigrating := false; ; {
+		phase, changed := n.lifecycle.currentPhase()
 		if phase != outOfService {
 			return
 		}
@@ -100,17 +100,17 @@
 		case <-ctx.Done():
 			return
 		case <-changed:
-		case <-paused:
-			migrating = true
+		case <-pauseOver:
+			isMigrating = true
 		case <-ticker.C:
 		}
-		if migrating {
+		if isMigrating {
 			n.migrateAll()
 		}
 	}
 }
 
-// migrateAll has the balancer migrate every established connection.
+// migrateAll makes the balancer migrate all established connections.
 func (n *Node) migrateAll() {
 	n.loop.post(func() { n.loop.handle(balance.ShutdownAnnounced{}) })
 }
--- a/node/shadow.go
+++ b/node/shadow.go
@@ -8,130 +8,132 @@
 	"brassmux/balance"
 )
 
-// shadow feeds a second balancer, with other settings, the events of the node, and counts how the first decision for
-// each request compares with the node's. Its decisions are not carried out: where the node places a client, the shadow
-// takes that as given. It belongs to the loop's goroutine.
+// shadow runs a second balancer with other settings on the events of the node, and counts how its first decision for
+// each request compares with the node's. Its decisions are not executed: once the node has established a connection,
+// the shadow adopts it. Only the goroutine of the event loop may use it, except for the counts.
 type shadow struct {
 	balancer *balance.Balancer
 	requests map[balance.RequestID]*comparison
 	setTimer func(after time.Duration, token uint64)
 	now      time.Duration
 	tally    struct {
-		same      atomic.Int64
-		server    atomic.Int64 // another server
-		refused   atomic.Int64 // by the shadow only
-		placed    atomic.Int64 // by the shadow only
-		undecided atomic.Int64 // settled before the shadow decided
-		moves     atomic.Int64 // migrations that the shadow asked for
+		sameServer  atomic.Int64
+		otherServer atomic.Int64 // the decisions differ in the server
+		wouldReject atomic.Int64 // rejected only by the shadow
+		wouldPlace  atomic.Int64 // placed only by the shadow
+		undecided   atomic.Int64 // the request ended before the shadow decided
+		migrations  atomic.Int64 // migrations that the shadow decided
 	}
 }
 
-// rejection stands for the server in a decision that places a request nowhere.
-const rejection balance.ServerID = 0
+// noServer represents the decision to reject or fail a request.
+const noServer balance.ServerID = 0
 
-// comparison is a request whose decisions are awaited, or an established connection.
+// comparison is a request whose decisions are compared, or an established connection.
 type comparison struct {
 	balance.Request
-	actual, alternative *balance.ServerID // the first decisions of the node and of the shadow; nil until known
-	attempts            int               // decided by the shadow
-	established         bool
+	actual, alternative *balance.ServerID // the first decisions of the node and of the shadow, nil until known
+	attempts            int               // number of attempts that the shadow has decided
+	isEstablished       bool
 }
 
 // handle passes an event to the shadow's balancer.
-func (s *shadow) handle(ev balance.Event) {
-	for _, a := range slices.Clone(s.balancer.Handle(s.now, ev)) {
-		switch a := a.(type) {
+func (s *shadow) handle(event balance.Event) {
+	for _, action := range slices.Clone(s.balancer.Handle(s.now, event)) {
+		switch action := action.(type) {
 		case balance.Attempt:
-			if c := s.requests[a.ID]; c != nil {
+			if c := s.requests[action.ID]; c != nil {
 				c.attempts++
 			}
-			s.recordDecision(a.ID, a.Server, false)
+			s.recordDecision(action.ID, action.Server, false)
 		case balance.Reject:
-			s.recordDecision(a.ID, rejection, false)
+			s.recordDecision(action.ID, noServer, false)
 		case balance.Fail:
-			s.recordDecision(a.ID, rejection, false)
+			s.recordDecision(action.ID, noServer, false)
 		case balance.Migrate:
-			s.tally.moves.Add(1)
+			s.tally.migrations.Add(1)
 		case balance.SetTimer:
-			s.setTimer(a.After, a.Token)
+			s.setTimer(action.After, action.Token)
 		}
 	}
 }
 
-// observeEvent takes an event of the node, before the actions that follow from it are observed.
-func (s *shadow) observeEvent(now time.Duration, ev balance.Event) {
+// observeEvent processes an event of the node. It must be called before observeAction for the resulting actions.
+func (s *shadow) observeEvent(now time.Duration, event balance.Event) {
 	s.now = now
-	switch ev := ev.(type) {
+	switch event := event.(type) {
 	case balance.EndpointUpdate, balance.HealthCheckResult:
-		s.handle(ev)
+		s.handle(event)
 	case balance.Request:
-		s.requests[ev.ID] = &comparison{Request: ev}
-		s.handle(ev)
+		s.requests[event.ID] = &comparison{Request: event}
+		s.handle(event)
 	case balance.ExistingConnection:
-		s.requests[ev.ID] = &comparison{Request: ev.Request, established: true}
-		s.handle(ev)
+		s.requests[event.ID] = &comparison{Request: event.Request, isEstablished: true}
+		s.handle(event)
 	case balance.AttemptAccepted:
-		s.observeAccepted(ev)
+		s.observeAccepted(event)
 	case balance.LateMessage:
-		if c := s.requests[ev.ID]; c != nil && c.established {
-			s.handle(ev)
+		if c := s.requests[event.ID]; c != nil && c.isEstablished {
+			s.handle(event)
 		}
 	case balance.AttemptEnded:
-		s.observeClosed(ev)
+		s.observeClosed(event)
 	case balance.ClientDisconnected:
-		if c := s.requests[ev.ID]; c != nil && !c.established {
+		if c := s.requests[event.ID]; c != nil && !c.isEstablished {
 			s.forget(c)
 		}
 	}
 }
 
-// observeAccepted replaces the shadow's own decision by the connection that the node has established.
-func (s *shadow) observeAccepted(ev balance.AttemptAccepted) {
-	c := s.requests[ev.ID]
-	if c == nil || c.established {
+// observeAccepted replaces the shadow's decision by the connection that the node has established.
+func (s *shadow) observeAccepted(event balance.AttemptAccepted) {
+	c := s.requests[event.ID]
+	if c == nil || c.isEstablished {
 		return
 	}
 	s.forget(c)
-	s.requests[ev.ID] = c
-	c.established = true
-	s.handle(balance.ExistingConnection{Request: c.Request, Server: ev.Server})
+	s.requests[event.ID] = c
+	c.isEstablished = true
+	s.handle(balance.ExistingConnection{Request: c.Request, Server: event.Server})
 }
 
-func (s *shadow) observeClosed(ev balance.AttemptEnded) {
-	c := s.requests[ev.ID]
-	if c == nil || !ev.Final {
+// observeClosed processes the end of an attempt or of an established connection.
+func (s *shadow) observeClosed(event balance.AttemptEnded) {
+	c := s.requests[event.ID]
+	if c == nil || !event.Final {
 		return
 	}
-	if !c.established {
+	if !c.isEstablished {
 		s.forget(c)
 		return
 	}
-	ev.Attempt = 0 // an established connection is known to the shadow without attempts
-	s.handle(ev)
-	delete(s.requests, ev.ID)
+	event.Attempt = 0 // the shadow's balancer has an established connection without attempts
+	s.handle(event)
+	delete(s.requests, event.ID)
 }
 
-// observeAction takes an action of the node.
-func (s *shadow) observeAction(a balance.Action) {
-	switch a := a.(type) {
+// observeAction processes an action of the node.
+func (s *shadow) observeAction(action balance.Action) {
+	switch action := action.(type) {
 	case balance.Attempt:
-		s.recordDecision(a.ID, a.Server, true)
+		s.recordDecision(action.ID, action.Server, true)
 	case balance.Reject:
-		s.settle(a.ID)
+		s.observeRejection(action.ID)
 	case balance.Fail:
-		s.settle(a.ID)
+		s.observeRejection(action.ID)
 	}
 }
 
-// settle records that the node has placed a request nowhere.
-func (s *shadow) settle(id balance.RequestID) {
-	s.recordDecision(id, rejection, true)
+// observeRejection records that the node has rejected or failed a request.
+func (s *shadow) observeRejection(id balance.RequestID) {
+	s.recordDecision(id, noServer, true)
 	if c := s.requests[id]; c != nil {
 		s.forget(c)
 	}
 }
 
-// recordDecision stores a first decision, by the node where isActual, and counts once both are known.
+// recordDecision stores a first decision, the node's if isActual is true and otherwise the shadow's. It counts the
+// result once both are known.
 func (s *shadow) recordDecision(id balance.RequestID, server balance.ServerID, isActual bool) {
 	c := s.requests[id]
 	if c == nil {
@@ -149,17 +151,17 @@
 	}
 	switch {
 	case *c.actual == *c.alternative:
-		s.tally.same.Add(1)
-	case *c.alternative == rejection:
-		s.tally.refused.Add(1)
-	case *c.actual == rejection:
-		s.tally.placed.Add(1)
+		s.tally.sameServer.Add(1)
+	case *c.alternative == noServer:
+		s.tally.wouldReject.Add(1)
+	case *c.actual == noServer:
+		s.tally.wouldPlace.Add(1)
 	default:
-		s.tally.server.Add(1)
+		s.tally.otherServer.Add(1)
 	}
 }
 
-// forget removes a request that the node has settled.
+// forget removes a request that is no longer pending at the node.
 func (s *shadow) forget(c *comparison) {
 	if delete(s.requests, c.ID); c.actual != nil && c.alternative == nil {
 		s.tally.undecided.Add(1)
@@ -170,12 +172,12 @@
 	s.handle(balance.ClientDisconnected{ID: c.ID})
 }
 
-// counters passes each counter to add.
+// counters calls add for each counter.
 func (s *shadow) counters(add func(name string, value int64)) {
-	add("watched_moves", s.tally.moves.Load())
-	add("watched_other_server", s.tally.server.Load())
-	add("watched_same", s.tally.same.Load())
+	add("watched_moves", s.tally.migrations.Load())
+	add("watched_other_server", s.tally.otherServer.Load())
+	add("watched_same", s.tally.sameServer.Load())
 	add("watched_undecided", s.tally.undecided.Load())
-	add("watched_would_place", s.tally.placed.Load())
-	add("watched_would_refuse", s.tally.refused.Load())
+	add("watched_would_place", s.tally.wouldPlace.Load())
+	add("watched_would_refuse", s.tally.wouldReject.Load())
 }
--- a/node/shutdown.go
+++ b/node/shutdown.go
@@ -5,86 +5,88 @@
 	"time"
 )
 
-// finalAnswerTime is set aside at the end of a shutdown for the answers that only the end of the process brings.
-const finalAnswerTime = 100 * time.Millisecond
+// finalAnswerMargin is the time reserved at the end of a shutdown to send final answers to unanswered requests.
+const finalAnswerMargin = 100 * time.Millisecond
 
-// shutdown is a graceful shutdown with the moments that bound it.
+// shutdown is a graceful shutdown with its deadlines.
 type shutdown struct {
-	n             *Node
-	finalAnswers  time.Time // requests without an answer are rejected
-	lastMigration time.Time // whoever is left is migrated, with the time to close that clients have
-	end           time.Time
-	transferring  atomic.Bool
+	node              *Node
+	answerDeadline    time.Time // requests that are still unanswered fail
+	migrationDeadline time.Time // remaining clients are migrated, and have CloseMS to close
+	deadline          time.Time
+	isTransferring    atomic.Bool
 }
 
-// shutDown stops accepting clients and returns when all connections have ended, or when the time for it has.
+// shutDown stops accepting clients and returns when all connections have ended or the time limit has passed.
 func (n *Node) shutDown(acceptDone <-chan struct{}) {
 	n.lifecycle.setStopping()
 	n.log.Info("stopping")
 	n.loop.post(n.loop.onStop)
-	t, begin := n.cfg.Timeouts, time.Now()
-	limit := milliseconds(t.StopMS)
+	timeouts, startedAt := n.cfg.Timeouts, time.Now()
+	limit := milliseconds(timeouts.StopMS)
 	s := &shutdown{
-		n:             n,
-		finalAnswers:  begin.Add(limit - min(finalAnswerTime, limit/2)),
-		lastMigration: begin.Add(limit - milliseconds(t.CloseMS)),
-		end:           begin.Add(limit),
+		node:              n,
+		answerDeadline:    startedAt.Add(limit - min(finalAnswerMargin, limit/2)),
+		migrationDeadline: startedAt.Add(limit - milliseconds(timeouts.CloseMS)),
+		deadline:          startedAt.Add(limit),
 	}
-	finalAnswers, end := time.After(time.Until(s.finalAnswers)), time.After(time.Until(s.end))
+	answerTimer, deadlineTimer := time.After(time.Until(s.answerDeadline)), time.After(time.Until(s.deadline))
 	s.stopAccepting()
-	ended := make(chan struct{})
+	connectionsEnded := make(chan struct{})
 	go func() {
 		<-acceptDone
 		n.frontend.Wait()
-		close(ended)
+		close(connectionsEnded)
 	}()
-	ticker := time.NewTicker(migrationInterval) // connections may be established meanwhile
+	ticker := time.NewTicker(migrationInterval) // connections may still be established
 	defer ticker.Stop()
 	for {
 		s.migrate()
 		select {
 		case <-ticker.C:
-		case <-ended:
+		case <-connectionsEnded:
 			return
-		case <-finalAnswers:
-			n.loop.post(n.loop.rejectAll)
-		case <-end:
+		case <-answerTimer:
+			n.loop.post(n.loop.failUnanswered)
+		case <-deadlineTimer:
 			n.log.Warn("stopped with open client connections")
 			return
 		}
 	}
 }
 
-// stopAccepting closes the listener. On a socket of its own the node accepts clients for a while before, as the load
-// balancer in front still sends some. Connections without a request get until the final answers at most.
+// stopAccepting closes the listener. A node that opened the socket itself still accepts clients for a while, because
+// the load balancer in front has not noticed the shutdown yet. Connections without a request are closed at the answer
+// deadline at the latest.
 func (s *shutdown) stopAccepting() {
-	n, t := s.n, s.n.cfg.Timeouts
+	n, timeouts := s.node, s.node.cfg.Timeouts
 	if n.inheritsListener() {
-		n.frontend.LimitHandshakes(time.Until(s.finalAnswers))
+		n.frontend.LimitHandshakes(time.Until(s.answerDeadline))
 		n.listener.Close()
 		return
 	}
-	time.Sleep(milliseconds(t.AcceptAfterStopMS))
-	n.frontend.LimitHandshakes(min(milliseconds(t.CloseMS), time.Until(s.finalAnswers)))
+	time.Sleep(milliseconds(timeouts.AcceptAfterStopMS))
+	n.frontend.LimitHandshakes(min(milliseconds(timeouts.CloseMS), time.Until(s.answerDeadline)))
 	n.frontend.AcceptRemaining(n.listener)
 }
 
+// inheritsListener reports whether the listening socket is inherited.
 func (n *Node) inheritsListener() bool { return n.cfg.ListenFD != 0 }
 
-// migrate hands established connections over to the successor, or migrates them where another node or process takes
-// them, or where the time runs out.
+// migrate hands established connections over to the successor. Without one it migrates them if another node or process
+// can take them, and in any case once the migration deadline has passed.
 func (s *shutdown) migrate() {
-	n := s.n
-	isLast, successor := time.Now().After(s.lastMigration), n.handover.successor.Load()
+	n := s.node
+	isFinal, successor := time.Now().After(s.migrationDeadline), n.handover.successor.Load()
 	othersAccept := !n.isOnlyNode() || n.inheritsListener()
 	switch {
-	case successor != nil && !isLast && s.transferring.CompareAndSwap(false, true):
-		// In a goroutine of its own: a successor that hangs must not delay what is due here.
+	case successor != nil && !isFinal && s.isTransferring.CompareAndSwap(false, true):
+		// In a goroutine, because a successor that does not respond must not delay the other steps of the shutdown.
 		go func() {
-			n.transferConnections(successor, s.lastMigration)
-			s.transferring.Store(false)
+			n.transferConnections(successor, s.migrationDeadline)
+			s.isTransferring.Store(false)
 		}()
-	case isLast, othersAccept && successor == nil:
+	case isFinal, othersAccept && successor == nil:
 		n.migrateAll()
 	}
 }
--- a/node/successor.go
+++ b/node/successor.go
@@ -11,25 +11,25 @@
 	"brassmux/internal/upgrade"
 )
 
-// maxConcurrentTransfers bounds the connections that are paused for their transfer at a time. Pausing takes most of the
-// time under load, and many connections pause as fast as one.
+// maxConcurrentTransfers limits the connections that are paused for their transfer at the same time. Under load the
+// pause takes most of the time of a transfer, and many connections can be paused in the time of one.
 const maxConcurrentTransfers = 64
 
 const (
-	listenRetryInterval = time.Second            // between two attempts to listen for the successor
-	acceptRetryInterval = 300 * time.Millisecond // after an error of accept, as when descriptors run out
+	listenRetryInterval = time.Second            // between two attempts to listen for successors
+	acceptRetryInterval = 300 * time.Millisecond // after a failed accept, for example without free descriptors
 )
 
-// successor is the next process of this node, while it serves.
+// successor is the next process of this node, from when it serves until its link ends.
 type successor struct {
 	link *upgrade.Link
 
 	mu      sync.Mutex
-	pending []chan bool // of connections sent and not answered for, in the order in which they were sent
-	closed  bool        // nothing more is sent
+	pending []chan bool // channels for the answers to sent connections, in the order of sending
+	closed  bool        // no more connections are sent
 }
 
-// resolve passes an answer on to the oldest connection without one.
+// resolve delivers an answer for the oldest connection without one.
 func (s *successor) resolve(accepted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -39,7 +39,7 @@
 	}
 }
 
-// close resolves all pending connections as not accepted: this process still has them.
+// close resolves all pending connections as not accepted, so that this process keeps them.
 func (s *successor) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -50,26 +50,26 @@
 	s.pending = nil
 }
 
-// send sends a connection and returns the channel of its answer; nil where it is not sent.
-func (s *successor) send(c *exchange.OpenConnection, client, server *net.TCPConn) <-chan bool {
+// send sends a connection and returns the channel for its answer, or nil if the connection was not sent.
+func (s *successor) send(connection *exchange.OpenConnection, client, server *net.TCPConn) <-chan bool {
 	answer := make(chan bool, 1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
 		return nil
 	}
-	message := upgrade.Message{Kind: upgrade.KindConnection, Connection: c}
+	message := upgrade.Message{Kind: upgrade.KindConnection, Connection: connection}
 	if s.link.Send(message, messageTimeout, client, server) != nil {
-		s.closed = true // the other connections need not run into the time limit one by one
+		s.closed = true // the other connections should not wait for the same timeout
 		return nil
 	}
 	s.pending = append(s.pending, answer)
 	return answer
 }
 
-// transfer hands one connection over, and reports whether it is no longer this process's.
-func (s *successor) transfer(c *exchange.OpenConnection, client, server *net.TCPConn) bool {
-	answer := s.send(c, client, server)
+// transfer hands over one connection, and reports whether this process must give it up.
+func (s *successor) transfer(connection *exchange.OpenConnection, client, server *net.TCPConn) bool {
+	answer := s.send(connection, client, server)
 	if answer == nil {
 		return false
 	}
@@ -78,29 +78,29 @@
 		return accepted
 	case <-time.After(2 * messageTimeout):
 		s.mu.Lock()
-		s.closed = true // a successor that hangs is offered no more connections
+		s.closed = true // send no more connections to a successor that does not respond
 		s.mu.Unlock()
-		return true // it may have accepted: two readers of one connection would be worse than none
+		return true // the successor may have accepted, and two processes must never read from one connection
 	}
 }
 
-// transferConnections hands established connections over until a deadline.
+// transferConnections hands over established connections until a deadline.
 func (n *Node) transferConnections(s *successor, deadline time.Time) {
 	var transfers sync.WaitGroup
 	slots := make(chan struct{}, maxConcurrentTransfers)
-	for _, x := range n.loop.openExchanges() {
+	for _, request := range n.loop.allRequests() {
 		slots <- struct{}{}
 		transfers.Go(func() {
 			defer func() { <-slots }()
-			if time.Now().Before(deadline) && x.HandOver(pauseTimeout, s.transfer) {
-				n.handover.counters.given.Add(1)
+			if time.Now().Before(deadline) && request.HandOver(pauseTimeout, s.transfer) {
+				n.handover.counters.handedOver.Add(1)
 			}
 		})
 	}
 	transfers.Wait()
 }
 
-// startSuccessorListener listens for the successor until the returned function is called.
+// startSuccessorListener listens for successors until the returned function is called.
 func (n *Node) startSuccessorListener() (stop func()) {
 	path := upgrade.SocketPath(n.cfg.HandoverDir, n.cfg.Listen)
 	if path == "" {
@@ -117,8 +117,8 @@
 	}
 }
 
-// keepListening listens for the successor. Where that fails, as in a directory that cannot be written to for a while,
-// it retries until the node ends.
+// keepListening listens for successors. If that fails, for example because the directory is not writable for a while,
+// it retries until it succeeds or the node ends.
 func (n *Node) keepListening(path string) {
 	if n.listenForSuccessor(path) {
 		return
@@ -136,33 +136,34 @@
 	}()
 }
 
-// listenForSuccessor replaces the socket on which the successor is awaited. It is false where it is to be retried.
+// listenForSuccessor replaces the listener for successors. It returns false if the caller should retry.
 func (n *Node) listenForSuccessor(path string) (done bool) {
 	n.handover.mu.Lock()
 	defer n.handover.mu.Unlock()
 	if n.handover.closed {
 		return true
 	}
-	l, err := upgrade.Listen(path)
+	listener, err := upgrade.Listen(path)
 	if err != nil {
-		n.reportHandoverFault(stepListen, err)
+		n.reportHandoverFailure(stepListen, err)
 		return false
 	}
 	if n.handover.listener != nil {
 		n.handover.listener.Close()
 	}
-	n.handover.listener = l
-	go n.acceptSuccessors(l)
+	n.handover.listener = listener
+	go n.acceptSuccessors(listener)
 	return true
 }
 
-func (n *Node) acceptSuccessors(l *upgrade.Listener) {
+// acceptSuccessors accepts successors until the listener is closed.
+func (n *Node) acceptSuccessors(listener *upgrade.Listener) {
 	for {
-		link, err := l.Accept()
+		link, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		} else if err != nil {
-			n.reportHandoverFault(stepAccept, err)
+			n.reportHandoverFailure(stepAccept, err)
 			select {
 			case <-time.After(acceptRetryInterval):
 				continue
@@ -170,78 +171,80 @@
 				return
 			}
 		}
-		go n.attendSuccessor(link)
+		go n.serveSuccessor(link)
 	}
 }
 
-// attendSuccessor sends a process the state of this one, lets it serve in its place, and passes its answers on until it
-// ends.
-func (n *Node) attendSuccessor(link *upgrade.Link) {
+// serveSuccessor sends the state of this process to its successor, switches to it once it serves, and handles its
+// answers until the link ends.
+func (n *Node) serveSuccessor(link *upgrade.Link) {
 	defer link.Close()
-	// A process that starts just after another has failed waits for that one's end: it would start without the state.
-	// Where the other lives on, half of the limit is left to it to start without.
+	// A process that starts just after another successor has failed waits until that one is gone, because it would
+	// otherwise start without the state. If the other one stays, this one is disconnected after half of its time limit
+	// for the state, and starts without it.
 	select {
-	case n.handover.attending <- struct{}{}:
+	case n.handover.successorSlot <- struct{}{}:
 	case <-time.After(messageTimeout / 2):
 		return
 	}
-	defer func() { <-n.handover.attending }()
-	defer context.AfterFunc(n.ctx, link.Close)() // else a wait for it outlives the node
+	defer func() { <-n.handover.successorSlot }()
+	defer context.AfterFunc(n.ctx, link.Close)() // a pending receive must not outlive the node
 	if err := receiveKind(link, upgrade.KindHello, messageTimeout); err != nil {
-		n.reportHandoverFault(stepHello, err)
+		n.reportHandoverFailure(stepHello, err)
 		return
 	}
-	now, _ := n.lifecycle.current()
-	messages := n.loop.exportState(now == outOfService)
+	currentPhase, _ := n.lifecycle.currentPhase()
+	messages := n.loop.exportState(currentPhase == outOfService)
 	defer n.loop.post(func() { n.loop.setReleased(false) })
-	for _, m := range messages {
-		if err := link.Send(m, messageTimeout); err != nil {
-			n.reportHandoverFault(stepState, err)
+	for _, message := range messages {
+		if err := link.Send(message, messageTimeout); err != nil {
+			n.reportHandoverFailure(stepState, err)
 			return
 		}
 	}
 	if err := receiveKind(link, upgrade.KindServing, successorReadyTimeout); err != nil {
-		n.reportHandoverFault(stepReadiness, err)
+		n.reportHandoverFailure(stepReadiness, err)
 		return
 	}
-	n.letServe(link)
+	n.switchToSuccessor(link)
 }
 
-// receiveKind receives a message within a time and checks its kind.
+// receiveKind receives a message within a timeout and checks its kind.
 func receiveKind(link *upgrade.Link, kind upgrade.Kind, timeout time.Duration) error {
-	m, _, err := link.Receive(time.Now().Add(timeout))
-	if err == nil && m.Kind != kind {
-		err = &unexpectedMessageError{m.Kind}
+	message, _, err := link.Receive(time.Now().Add(timeout))
+	if err == nil && message.Kind != kind {
+		err = &unexpectedMessageError{message.Kind}
 	}
 	return err
 }
 
-// letServe makes the process at the other end the successor until it ends.
-func (n *Node) letServe(link *upgrade.Link) {
+// switchToSuccessor makes the process at the other end the successor, and handles its answers until the link ends.
+func (n *Node) switchToSuccessor(link *upgrade.Link) {
 	s := &successor{link: link}
-	n.lifecycle.setSuccessorRuns(true)
+	n.lifecycle.setSuccessorServing(true)
 	n.handover.successor.Store(s)
 	n.log.Info("successor process serves")
 	defer func() {
 		n.handover.successor.Store(nil)
 		s.close()
-		n.lifecycle.setSuccessorRuns(false)
-		if now, _ := n.lifecycle.current(); now != stopping { // else the successor lives, and the socket is its own
+		n.lifecycle.setSuccessorServing(false)
+		// While this process stops, its successor lives on and listens on the socket itself.
+		if currentPhase, _ := n.lifecycle.currentPhase(); currentPhase != stopping {
 			n.keepListening(upgrade.SocketPath(n.cfg.HandoverDir, n.cfg.Listen))
 		}
 	}()
 	if err := link.Send(upgrade.Message{Kind: upgrade.KindReleased}, messageTimeout); err != nil {
-		n.reportHandoverFault(stepSwitch, err)
+		n.reportHandoverFailure(stepSwitch, err)
 		return
 	}
 	for {
-		m, _, err := link.Receive(time.Time{})
+		message, _, err := link.Receive(time.Time{})
 		if err != nil {
 			if n.ctx.Err() == nil {
-				n.reportHandoverFault(stepConnections, err)
+				n.reportHandoverFailure(stepConnections, err)
 			}
 			return
 		}
-		s.resolve(m.Kind == upgrade.KindAccepted)
+		s.resolve(message.Kind == upgrade.KindAccepted)
 	}
 }
--- a/node/testnode_test.go
+++ b/node/testnode_test.go
@@ -58,7 +58,7 @@
 // drains asks the loop whether a server drains.
 func (r *testNode) drains(h *testServer) bool {
 	drains := make(chan bool)
-	r.loop.post(func() { drains <- r.loop.draining[balance.ServerID(settings.HashServerID(h.id))] })
+	r.loop.post(func() { drains <- r.loop.drainingServers[balance.ServerID(settings.HashServerID(h.id))] })
 	return <-drains
 }
 
@@ -73,7 +73,7 @@
 // held asks the loop how many requests it holds.
 func (r *testNode) openRequests() int {
 	held := make(chan int)
-	r.loop.post(func() { held <- len(r.loop.open) })
+	r.loop.post(func() { held <- len(r.loop.requests) })
 	return <-held
 }
 
--- a/node/timers.go
+++ b/node/timers.go
@@ -7,7 +7,7 @@
 	"brassmux/balance"
 )
 
-// timerOwner is the part of the loop that has set a timer.
+// timerOwner identifies the component that has set a timer.
 type timerOwner uint8
 
 const (
@@ -19,11 +19,11 @@
 // timer expires at a time of the node's clock.
 type timer struct {
 	at    time.Duration
-	token uint64 // of the balancer or the shadow
+	token uint64 // identifies the timer to the balancer or the shadow
 	owner timerOwner
 }
 
-// timers is a heap of timers by expiry.
+// timers is a heap of timers ordered by expiry.
 type timers []timer
 
 func (t timers) Len() int           { return len(t) }
@@ -40,7 +40,7 @@
 	return last
 }
 
-// setTimer has a part of the loop called after a time.
+// setTimer sets a timer that calls its owner after a delay.
 func (l *loop) setTimer(after time.Duration, token uint64, owner timerOwner) {
 	heap.Push(&l.timers, timer{at: l.now() + after, token: token, owner: owner})
 }
--- a/node/trace.go
+++ b/node/trace.go
@@ -6,52 +6,58 @@
 	"brassmux/balance"
 )
 
-// traceEvent logs an event of the balancer on the debug level.
-func (l *loop) traceEvent(ev balance.Event) {
-	switch ev := ev.(type) {
+// traceEvent logs an event of the balancer at debug level.
+func (l *loop) traceEvent(event balance.Event) {
+	switch event := event.(type) {
 	case balance.EndpointUpdate:
-		l.log.Debug("endpoint update", zap.Int("kind", int(ev.Kind)), zap.Int("servers", len(ev.Servers)),
-			zap.Int64("version", l.version))
+		l.log.Debug("endpoint update", zap.Int("kind", int(event.Kind)), zap.Int("servers", len(event.Servers)),
+			zap.Int64("version", l.listVersion))
 	case balance.Request:
-		l.log.Debug("request", request(ev.ID), zap.String("key", ev.ClientKey), zap.String("group", ev.Group),
-			zap.Bool("reconnect", ev.Reconnect), zap.Duration("timeout", ev.Timeout))
+		l.log.Debug("request", requestField(event.ID), zap.String("key", event.ClientKey),
+			zap.String("group", event.Group), zap.Bool("reconnect", event.Reconnect),
+			zap.Duration("timeout", event.Timeout))
 	case balance.AttemptAccepted:
-		l.log.Debug("attempt accepted", request(ev.ID), l.server(ev.Server), zap.Duration("elapsed", ev.Elapsed))
+		l.log.Debug("attempt accepted", requestField(event.ID), l.serverField(event.Server),
+			zap.Duration("elapsed", event.Elapsed))
 	case balance.AttemptEnded:
-		l.log.Debug("attempt ended", request(ev.ID), l.server(ev.Server), zap.Int("attempt", ev.Attempt),
-			zap.String("outcome", outcomes[ev.Outcome]), zap.Duration("elapsed", ev.Elapsed), zap.Bool("final",
-				ev.Final))
+		l.log.Debug("attempt ended", requestField(event.ID), l.serverField(event.Server),
+			zap.Int("attempt", event.Attempt), zap.String("outcome", outcomeNames[event.Outcome]),
+			zap.Duration("elapsed", event.Elapsed), zap.Bool("final", event.Final))
 	case balance.HealthCheckResult:
 		load := -1.0
-		if ev.Report != nil {
-			load = ev.Report.Utilisation
+		if event.Report != nil {
+			load = event.Report.Utilisation
 		}
-		l.log.Debug("health check result", l.server(ev.Server), zap.String("outcome", outcomes[ev.Outcome]),
-			zap.Float64("load", load), zap.Duration("elapsed", ev.Elapsed))
+		l.log.Debug("health check result", l.serverField(event.Server),
+			zap.String("outcome", outcomeNames[event.Outcome]), zap.Float64("load", load),
+			zap.Duration("elapsed", event.Elapsed))
 	case balance.LateMessage:
-		l.log.Debug("late messages", l.server(ev.Server), zap.Duration("latency", ev.Latency))
+		l.log.Debug("late messages", l.serverField(event.Server), zap.Duration("latency", event.Latency))
 	}
 }
 
-// traceAction logs an action of the balancer on the debug level.
-func (l *loop) traceAction(a balance.Action) {
-	switch a := a.(type) {
+// traceAction logs an action of the balancer at debug level.
+func (l *loop) traceAction(action balance.Action) {
+	switch action := action.(type) {
 	case balance.Attempt:
-		l.log.Debug("attempt", request(a.ID), l.server(a.Server), zap.Duration("timeout", a.Timeout))
+		l.log.Debug("attempt", requestField(action.ID), l.serverField(action.Server),
+			zap.Duration("timeout", action.Timeout))
 	case balance.Reject:
-		l.log.Debug("reject", request(a.ID), zap.String("reason", a.Reason),
-			zap.Duration("retry_after", a.RetryAfter))
+		l.log.Debug("reject", requestField(action.ID), zap.String("reason", action.Reason),
+			zap.Duration("retry_after", action.RetryAfter))
 	case balance.Fail:
-		l.log.Debug("fail", request(a.ID))
+		l.log.Debug("fail", requestField(action.ID))
 	case balance.Migrate:
-		l.log.Debug("migrate", request(a.ID))
+		l.log.Debug("migrate", requestField(action.ID))
 	case balance.HealthCheck:
-		l.log.Debug("health check", l.server(a.Server))
+		l.log.Debug("health check", l.serverField(action.Server))
 	case balance.WatchEndpoints:
-		l.log.Debug("watch endpoints", zap.Int64("version", l.version))
+		l.log.Debug("watch endpoints", zap.Int64("version", l.listVersion))
 	}
 }
 
-func request(id balance.RequestID) zap.Field { return zap.Uint64("request", uint64(id)) }
+func requestField(id balance.RequestID) zap.Field { return zap.Uint64("request", uint64(id)) }
 
-func (l *loop) server(id balance.ServerID) zap.Field { return zap.String("server", l.servers[id].Addr) }
+func (l *loop) serverField(id balance.ServerID) zap.Field {
+	return zap.String("server", l.servers[id].Addr)
+}
--- a/node/watch.go
+++ b/node/watch.go
@@ -16,23 +16,23 @@
 	"brassmux/internal/discovery"
 )
 
-// A call to the discovery service waits for a unit of its quota, and else is retried after a delay, on average.
+// The limits of waiting for the quota of calls to the discovery service.
 const (
-	listCallWait       = time.Second
-	listCallRetryDelay = 500 * time.Millisecond
+	listCallWait       = time.Second            // for a unit of the quota
+	listCallRetryDelay = 500 * time.Millisecond // the mean delay of the next try after that, which is randomized
 )
 
 var errDiscoverySilent = errors.New("no data from the discovery service")
 
-// watch is one call for the endpoint list and its changes.
+// watch is one call to the discovery service, which returns the endpoint list and then its changes.
 type watch struct {
-	addr      string
-	since     int64 // the version after which it asks for changes
-	opened    time.Time
-	alive     bool // it has had data
-	failed    bool // its end or silence has been handled
-	cancel    context.CancelFunc
-	clockLead atomic.Pointer[time.Duration] // of this node's clock over the service's, by the Date of its answer
+	addr         string
+	sinceVersion int64 // only later changes are requested
+	openedAt     time.Time
+	hasData      bool
+	isBroken     bool // its end or silence has been handled
+	cancel       context.CancelFunc
+	clockLead    atomic.Pointer[time.Duration] // over the service's clock, by the Date header of the response
 }
 
 func (w *watch) stop() {
@@ -41,8 +41,8 @@
 	}
 }
 
-// subscribe opens a watch of the changes after the version in force, unless one is open. Each watch ends in one call of
-// onWatchBroken.
+// subscribe opens a watch of the changes after the current version, unless one is open. Each watch that is not replaced
+// ends in one call of onWatchBroken.
 func (l *loop) subscribe() {
 	if l.isWatching {
 		return
@@ -51,7 +51,7 @@
 	l.watchAttempts++
 	attempt := l.watchAttempts
 	l.control.Acquire(control.ListCalls, 0, listCallWait, func(ok bool) {
-		if attempt != l.watchAttempts { // the discovery address has changed meanwhile
+		if attempt != l.watchAttempts { // the discovery address has changed in the meantime
 			return
 		} else if ok {
 			l.openWatch()
@@ -69,21 +69,21 @@
 	})
 }
 
-// openWatch opens a watch. The one before it, where that has had data, stays open until this one has: what was written
-// to it and not yet read counts as received by this node.
+// openWatch opens a watch. The previous watch, if it has received data, stays open until the new one receives data: the
+// discovery service counts everything that it has written as received by this node, so it must be read.
 func (l *loop) openWatch() {
 	ctx, cancel := context.WithCancel(l.ctx)
-	w := &watch{addr: l.discoveryAddr, since: l.version, opened: time.Now(), cancel: cancel}
+	w := &watch{addr: l.discoveryAddr, sinceVersion: l.listVersion, openedAt: time.Now(), cancel: cancel}
 	deadline := l.control.SendDeadline(control.ListCalls)
-	if l.previous == nil {
-		l.previous = l.current
+	if l.previousWatch == nil {
+		l.previousWatch = l.currentWatch
 	} else {
-		l.current.stop() // it has had no data
+		l.currentWatch.stop() // it has received no data
 	}
-	l.current = w
+	l.currentWatch = w
 	post := func(event func()) {
 		l.post(func() {
-			if w == l.current || w == l.previous { // else it has been replaced
+			if w == l.currentWatch || w == l.previousWatch { // otherwise it has been replaced
 				event()
 			}
 		})
@@ -92,101 +92,105 @@
 		OnEvent:   func(list *discovery.EndpointList) { post(func() { l.onWatchEvent(w, list) }) },
 		OnAlive:   func() { post(func() { l.onWatchAlive(w) }) },
 		OnSilence: func() { post(func() { l.onWatchBroken(w, errDiscoverySilent) }) },
-		OnDate: func(date, asked, answered time.Time) {
-			lead := l.leadOver(date, asked, answered)
+		OnDate: func(date, requestedAt, respondedAt time.Time) {
+			lead := l.leadOver(date, requestedAt, respondedAt)
 			w.clockLead.Store(&lead)
 		},
 	}
 	go func() {
-		err := l.discovery.Watch(ctx, w.addr, w.since, deadline, handler)
+		err := l.discovery.Watch(ctx, w.addr, w.sinceVersion, deadline, handler)
 		cancel()
 		post(func() {
 			l.onWatchBroken(w, err)
-			if w == l.previous {
-				l.previous = nil
+			if w == l.previousWatch {
+				l.previousWatch = nil
 			}
 		})
 	}()
 }
 
-// onWatchAlive handles data of any kind. The version in force is confirmed to the balancer: where nothing has changed
-// since, no event may follow. The previous watch is closed where it is of the same service, as this one has all of its
-// further events; of another service it takes the list first.
+// onWatchAlive handles data of any kind. It confirms the current version to the balancer, because no event follows as
+// long as the list does not change. It closes the previous watch if that is of the same service, since this watch
+// receives all further events. A watch of another service stays open until the first list of this one.
 func (l *loop) onWatchAlive(w *watch) {
-	w.alive = true
+	w.hasData = true
 	l.checkWallClock()
 	if lead := w.clockLead.Load(); lead != nil {
 		l.onClockLead(*lead, true)
 	}
-	if w != l.current {
+	if w != l.currentWatch {
 		return
 	}
-	if w.addr == l.discoveryAddr && w.since > 0 {
+	if w.addr == l.discoveryAddr && w.sinceVersion > 0 {
 		l.handle(balance.EndpointUpdate{Kind: balance.ListDelta})
 	}
-	if l.previous != nil && l.previous.addr == w.addr {
+	if l.previousWatch != nil && l.previousWatch.addr == w.addr {
 		l.closePreviousWatch()
 	}
 }
 
+// closePreviousWatch closes the previous watch, if any.
 func (l *loop) closePreviousWatch() {
-	l.previous.stop()
-	l.previous = nil
+	l.previousWatch.stop()
+	l.previousWatch = nil
 }
 
-// onWatchEvent applies an event. Of two watches of one service the newer may have been opened first, and repeat what
-// the other has had already: events of an older version are dropped, as they would undo a drain.
+// onWatchEvent applies an event of a watch. A new watch may repeat events that the previous watch of the same service
+// received after the new one was opened. Those have an older version and are dropped, because they could undo a drain.
 func (l *loop) onWatchEvent(w *watch, list *discovery.EndpointList) {
-	if w == l.current {
+	if w == l.currentWatch {
 		l.closePreviousWatch()
 	}
 	switch {
 	case w.addr != l.discoveryAddr:
-		// The former service numbers its versions otherwise, and may be out of date: it can only take servers away.
+		// The versions of the former service are not comparable, and its list may be out of date: it is only used to
+		// drain or remove servers.
 		list.Full = false
-		list.Servers = slices.DeleteFunc(list.Servers, func(s discovery.Endpoint) bool { return s.State == serverUp })
-	case list.Version < l.version && w.since < l.version:
+		list.Servers = slices.DeleteFunc(list.Servers, func(server discovery.Endpoint) bool {
+			return server.State == serverUp
+		})
+	case list.Version < l.listVersion && w.sinceVersion < l.listVersion:
 		return
 	default:
-		l.version = list.Version
+		l.listVersion = list.Version
 	}
 	l.checkWallClock()
 	l.applyEndpointList(list)
-	if l.logsLists {
+	if l.logsEndpointLists {
 		l.log.Info("list in force", zap.Int64("version", list.Version))
 	}
 }
 
-// onWatchBroken has the balancer ask for another watch, once for each that ends or falls silent.
+// onWatchBroken handles the end or silence of a watch, once per watch, and makes the balancer request another one.
 func (l *loop) onWatchBroken(w *watch, err error) {
-	if w.failed || w != l.current {
+	if w.isBroken || w != l.currentWatch {
 		return
 	}
 	l.log.Warn("endpoint watch broken", zap.String("discovery", w.addr), zap.Error(err))
-	w.failed, l.isWatching = true, false
-	if !l.endpointsPushed { // where changes are pushed, what it says when it is back counts as received
+	w.isBroken, l.isWatching = true, false
+	if !l.endpointsPushed { // pushed changes count as received once the watch recovers, so it must stay open
 		w.stop()
 	}
-	elapsed := time.Since(w.opened)
-	kind := balance.WatchFailed // the service may end each call soon, and is to be spared
-	if w.alive && elapsed >= l.discovery.SilenceTimeout {
+	elapsed := time.Since(w.openedAt)
+	kind := balance.WatchFailed // retry with a delay, because the service may end every call soon
+	if w.hasData && elapsed >= l.discovery.SilenceTimeout {
 		kind = balance.WatchBroken
 	}
-	if dial := (&net.OpError{}); w.alive || errors.As(err, &dial) && dial.Op == "dial" {
-		elapsed = 0 // the service has not kept the call waiting
+	if dialError := (&net.OpError{}); w.hasData || errors.As(err, &dialError) && dialError.Op == "dial" {
+		elapsed = 0 // the service did not delay the call
 	}
 	l.handle(balance.EndpointUpdate{Kind: kind, ServiceWait: elapsed})
 }
 
-// onDiscoveryChanged follows the list of another service at once, from its first version: the next retry of the
-// balancer may be seconds away.
+// onDiscoveryChanged switches to another discovery service and requests its complete list. It does so at once, because
+// the next retry of the balancer may be seconds away.
 func (l *loop) onDiscoveryChanged(addr string) {
 	if addr == l.discoveryAddr {
 		return
 	}
 	l.log.Info("discovery address changed", zap.String("discovery", addr))
-	l.discoveryAddr, l.version, l.isWatching = addr, 0, false
-	l.handle(balance.EndpointUpdate{Kind: balance.WatchBroken}) // failures of the former service delay no retry
+	l.discoveryAddr, l.listVersion, l.isWatching = addr, 0, false
+	l.handle(balance.EndpointUpdate{Kind: balance.WatchBroken}) // failures of the former service must not delay retries
 	l.subscribe()
 	l.control.SendRequests()
 }
--- a/node/watch_test.go
+++ b/node/watch_test.go
@@ -32,11 +32,13 @@
 // spread over all nodes: there more calls do not help.
 func TestABrokenWatchIsOpenedAtOnceAndAFailedCallIsNot(t *testing.T) {
 	cut := func(n *testNode) { n.discovery.breakWatches() }
-	silent := func(n *testNode) { n.loop.post(func() { n.loop.onWatchBroken(n.loop.current, errDiscoverySilent) }) }
+	silent := func(n *testNode) {
+		n.loop.post(func() { n.loop.onWatchBroken(n.loop.currentWatch, errDiscoverySilent) })
+	}
 	unreached := func(n *testNode) {
 		n.loop.post(func() {
-			n.loop.current.alive = false
-			n.loop.onWatchBroken(n.loop.current, &net.OpError{Op: "dial", Err: errors.New("i/o timeout")})
+			n.loop.currentWatch.hasData = false
+			n.loop.onWatchBroken(n.loop.currentWatch, &net.OpError{Op: "dial", Err: errors.New("i/o timeout")})
 		})
 	}
 	for name, b := range map[string]brokenWatch{
@@ -70,7 +72,7 @@
 	n.discovery.failures, n.discovery.failureDelay = 1000, b.waits
 	n.discovery.mu.Unlock()
 	begun := time.Now()
-	n.loop.post(func() { n.loop.current.opened = begun.Add(-b.stood) })
+	n.loop.post(func() { n.loop.currentWatch.openedAt = begun.Add(-b.stood) })
 	b.breaks(n)
 	if b.again {
 		n.waitFor("another", func() bool { return n.counter("list_calls") == 2 })
@@ -97,7 +99,7 @@
 	r.waitFor("a pause before the next call", func() bool {
 		pauses := make(chan time.Duration)
 		r.loop.post(func() {
-			if len(r.loop.timers) == 0 || !r.loop.current.failed || r.loop.watchAttempts != calls {
+			if len(r.loop.timers) == 0 || !r.loop.currentWatch.isBroken || r.loop.watchAttempts != calls {
 				pauses <- 0
 				return
 			}
@@ -146,7 +148,7 @@
 			n := runNode(t, testConfig(t, list, h), list)
 			n.waitFor("word of the list, or none for long enough", func() bool {
 				lives := make(chan bool)
-				n.loop.post(func() { lives <- n.loop.current != nil && n.loop.current.alive })
+				n.loop.post(func() { lives <- n.loop.currentWatch != nil && n.loop.currentWatch.hasData })
 				return (<-lives || c.fails > 0) && time.Since(begun) > 2*time.Second
 			})
 			if got := n.open("k", "").readLine(); !strings.HasPrefix(got, c.want) {
@@ -176,7 +178,7 @@
 	n := startNode(t, nil, h)
 	n.waitFor("the first watch", func() bool { return n.counter("list_calls") == 1 })
 	ended := map[*watch]bool{}
-	second := &watch{addr: n.loop.discoveryAddr, since: 1}
+	second := &watch{addr: n.loop.discoveryAddr, sinceVersion: 1}
 	second.cancel = func() { ended[second] = true }
 	word := func(w *watch, version int64, state string) {
 		n.loop.onWatchEvent(w, &discovery.EndpointList{Version: version,
@@ -184,16 +186,16 @@
 	}
 	seen := make(chan bool, 3)
 	n.loop.post(func() {
-		first := n.loop.current
-		n.loop.current, n.loop.previous = second, first
+		first := n.loop.currentWatch
+		n.loop.currentWatch, n.loop.previousWatch = second, first
 		word(first, 43, "draining")
 		n.loop.onWatchAlive(second) // also without a list
-		seen <- n.loop.previous == nil
+		seen <- n.loop.previousWatch == nil
 		word(second, 42, "up")
 		n.loop.openWatch()
-		seen <- n.loop.previous == second && !ended[second]
+		seen <- n.loop.previousWatch == second && !ended[second]
 		n.loop.openWatch() // the third has told nothing
-		seen <- n.loop.previous == second && !ended[second]
+		seen <- n.loop.previousWatch == second && !ended[second]
 	})
 	for range 3 {
 		if !<-seen {
