--- a/node/config_doc_test.go
+++ b/node/config_doc_test.go
@@ -11,80 +11,81 @@
 	"testing"
 )
 
-// keysOf lists the keys of a configuration as its page writes them, with the fields behind them.
-func keysOf(prefix string, v reflect.Value, found map[string]reflect.Value) {
-	for i := range v.NumField() {
-		name, _, _ := strings.Cut(v.Type().Field(i).Tag.Get("json"), ",")
+// collectKeys adds the keys of a configuration, in the form of the configuration page, with their fields.
+func collectKeys(prefix string, value reflect.Value, keys map[string]reflect.Value) {
+	for i := range value.NumField() {
+		name, _, _ := strings.Cut(value.Type().Field(i).Tag.Get("json"), ",")
 		if name == "" || name == "-" {
 			continue
 		}
-		f := v.Field(i)
+		field := value.Field(i)
 		switch {
-		case f.Kind() == reflect.Struct:
-			keysOf(prefix+name+".", f, found)
-		case f.Kind() == reflect.Slice && f.Type().Elem().Kind() == reflect.Struct:
-			keysOf(prefix+name+"[].", reflect.New(f.Type().Elem()).Elem(), found)
+		case field.Kind() == reflect.Struct:
+			collectKeys(prefix+name+".", field, keys)
+		case field.Kind() == reflect.Slice && field.Type().Elem().Kind() == reflect.Struct:
+			collectKeys(prefix+name+"[].", reflect.New(field.Type().Elem()).Elem(), keys)
 		default:
-			found[prefix+name] = f
+			keys[prefix+name] = field
 		}
 	}
 }
 
-// The page names each key that is read and no other, and the defaults that the code fills in.
-func TestThePageOfTheConfigurationIsTrue(t *testing.T) {
+// Guards against a configuration page with missing or superfluous keys, or with wrong defaults.
+func TestConfigurationPageListsAllKeys(t *testing.T) {
 	page, err := os.ReadFile("../docs/configuration.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var c Config
-	c.Validate() // fills in what is left out
+	var cfg Config
+	cfg.Validate() // sets the defaults
 	keys := map[string]reflect.Value{}
-	keysOf("", reflect.ValueOf(&c).Elem(), keys)
-	var named []string
-	rowForm := regexp.MustCompile("(?m)^\\| `([^`]+)` \\| ([^|]*) \\|")
-	for _, row := range rowForm.FindAllStringSubmatch(string(page), -1) {
-		key, preset := row[1], row[2]
-		named = append(named, key)
-		f, ok := keys[key]
+	collectKeys("", reflect.ValueOf(&cfg).Elem(), keys)
+	var documentedKeys []string
+	rowPattern := regexp.MustCompile("(?m)^\\| `([^`]+)` \\| ([^|]*) \\|")
+	for _, row := range rowPattern.FindAllStringSubmatch(string(page), -1) {
+		key, defaultValue := row[1], row[2]
+		documentedKeys = append(documentedKeys, key)
+		field, ok := keys[key]
 		if !ok {
-			t.Errorf("the page names %s, which is not read", key)
+			t.Errorf("the page documents %s, which is not a key", key)
 			continue
 		}
-		if want, err := strconv.ParseInt(preset, 10, 64); err == nil && f.CanInt() && f.Int() != want && f.Int() != 0 {
-			t.Errorf("the default of %s is %d, not %d", key, f.Int(), want)
-		} else if err != nil && f.CanInt() && f.Int() != 0 {
-			t.Errorf("the default of %s is %d, not %q", key, f.Int(), preset)
+		if want, err := strconv.ParseInt(defaultValue, 10, 64); err == nil && field.CanInt() &&
+			field.Int() != want && field.Int() != 0 {
+			t.Errorf("the default of %s is %d, not %d", key, field.Int(), want)
+		} else if err != nil && field.CanInt() && field.Int() != 0 {
+			t.Errorf("the default of %s is %d, not %q", key, field.Int(), defaultValue)
 		}
 	}
 	for key := range keys {
-		if !slices.Contains(named, key) {
-			t.Errorf("the page does not name %s", key)
+		if !slices.Contains(documentedKeys, key) {
+			t.Errorf("the page does not document %s", key)
 		}
 	}
 }
 
-// The page's examples of control machines are read as they stand, and are whole: no key of theirs is faulty, in a
-// site that has the rest.
-func TestTheExamplesOfControlMachinesAreRead(t *testing.T) {
+// Guards against examples of control machines on the configuration page that are invalid in an otherwise complete
+// configuration.
+func TestConfigurationPageExamplesAreValid(t *testing.T) {
 	page, err := os.ReadFile("../docs/configuration.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var roles []string
-	exampleForm := regexp.MustCompile(`(?m)^    \{"settings(?:.*\n(?:     .*\n)*)`)
-	for _, text := range exampleForm.FindAllString(string(page), -1) {
-		c := leased(t)
-		c.Peers, c.Budgets = Peers{}, Budgets{}
-		if err := json.Unmarshal([]byte(text), &c); err != nil {
+	examplePattern := regexp.MustCompile(`(?m)^    \{"settings(?:.*\n(?:     .*\n)*)`)
+	for _, text := range examplePattern.FindAllString(string(page), -1) {
+		cfg := leasingConfig(t)
+		cfg.Peers, cfg.Budgets = Peers{}, Budgets{}
+		if err := json.Unmarshal([]byte(text), &cfg); err != nil {
 			t.Fatalf("%s: %v", text, err)
 		}
-		if faults := c.Validate(); len(faults) > 0 {
+		if faults := cfg.Validate(); len(faults) > 0 {
 			t.Errorf("%s: %v", text, faults)
 		}
 		switch {
-		case len(c.Peers.ControlAddrs) > 0:
+		case len(cfg.Peers.ControlAddrs) > 0:
 			roles = append(roles, "node")
-		case c.Peers.ChildListen != "":
+		case cfg.Peers.ChildListen != "":
 			roles = append(roles, "control machine")
 		}
 	}
--- a/node/connection_test.go
+++ b/node/connection_test.go
@@ -10,12 +10,12 @@
 	"time"
 )
 
-// A client that writes ahead and stays gets what it asked for, in order.
-func TestWhatAClientWritesAheadWaitsForItsServer(t *testing.T) {
-	h := newTestServer(t, "s-1")
-	n := startNode(t, nil, h)
+// Guards against losing or reordering the lines that a client sends before its request is accepted.
+func TestEarlyClientLinesReachServerInOrder(t *testing.T) {
+	srv := newTestServer(t, "s-1")
+	n := startNode(t, nil, srv)
 	client := n.open("k", "")
-	server, _ := h.accept(t)
+	server, _ := srv.accept(t)
 	for i := range 3 {
 		client.send(fmt.Sprintf("ahead %d\r\n", i))
 	}
@@ -32,57 +32,61 @@
 	client.expect("one\r\n")
 }
 
-func TestTheFirstLineGoesOnUnchangedButForItsWait(t *testing.T) {
-	h := newTestServer(t, "s-1")
-	n := startNode(t, nil, h)
-	c := n.dial()
-	c.send("OPEN 9b1f 7f3a c=chat,t=acme,d=1900,g=5c0f,x=new\r\n")
-	s, first := h.accept(t)
-	before, rest, _ := strings.Cut(first, "d=")
-	wait, after, _ := strings.Cut(rest, ",")
-	if ms, err := strconv.Atoi(wait); before != "OPEN 9b1f 7f3a c=chat,t=acme," || after != "g=5c0f,x=new\r\n" ||
-		err != nil || ms < 1 || ms > 1900/2 { // the first of several attempts gets half the time
-		t.Errorf("got %q", first)
+// Guards against a first line that is forwarded with other changes than a shorter deadline, and against lines that are
+// split or merged incorrectly after it.
+func TestForwardedFirstLineChangesOnlyDeadline(t *testing.T) {
+	srv := newTestServer(t, "s-1")
+	n := startNode(t, nil, srv)
+	client := n.dial()
+	client.send("OPEN 9b1f 7f3a c=chat,t=acme,d=1900,g=5c0f,x=new\r\n")
+	serverConn, firstLine := srv.accept(t)
+	before, rest, _ := strings.Cut(firstLine, "d=")
+	timeout, after, _ := strings.Cut(rest, ",")
+	if ms, err := strconv.Atoi(timeout); before != "OPEN 9b1f 7f3a c=chat,t=acme," || after != "g=5c0f,x=new\r\n" ||
+		err != nil || ms < 1 || ms > 1900/2 { // the first of several attempts gets half of the time
+		t.Errorf("got %q", firstLine)
 	}
-	s.send("UP r-1\r\n")
-	c.expect("UP r-1\r\n")
-	c.send("whole\r\nha") // in one piece
-	s.expect("whole\r\n")
-	c.send("lf\r\n")
-	s.expect("half\r\n")
-	s.send("one\r\ntwo\r\nLOAD 3\r\n")
-	c.expect("one\r\n")
-	c.expect("two\r\n")
-	c.expect("LOAD 3\r\n")
+	serverConn.send("UP r-1\r\n")
+	client.expect("UP r-1\r\n")
+	client.send("whole\r\nha") // one and a half lines at once
+	serverConn.expect("whole\r\n")
+	client.send("lf\r\n")
+	serverConn.expect("half\r\n")
+	serverConn.send("one\r\ntwo\r\nLOAD 3\r\n")
+	client.expect("one\r\n")
+	client.expect("two\r\n")
+	client.expect("LOAD 3\r\n")
 }
 
-func TestEndsArePassedOnAsTheyCome(t *testing.T) {
-	for name, c := range connectionEnds {
+// Guards against an end of a connection that the other side does not see as it happened, or that is logged with a wrong
+// code or more than once.
+func TestConnectionEndsAreForwarded(t *testing.T) {
+	for name, test := range connectionEnds {
 		t.Run(name, func(t *testing.T) {
-			h := newTestServer(t, "s-1")
-			n := startNode(t, nil, h)
-			client, server := n.establish(h)
+			srv := newTestServer(t, "s-1")
+			n := startNode(t, nil, srv)
+			client, server := n.establish(srv)
 			client.t, server.t = t, t
-			c.end(client, server)
-			n.expectCode(c.code)
-			if all := n.logs.FilterMessage("connection ended").Len(); all != 1 {
-				t.Errorf("%d lines for one connection", all)
+			test.end(client, server)
+			n.expectCode(test.code)
+			if count := n.logs.FilterMessage("connection ended").Len(); count != 1 {
+				t.Errorf("%d log lines for one connection, want 1", count)
 			}
-			n.waitFor("all to be forgotten", func() bool { return n.openRequests() == 0 })
+			n.waitFor("the request to be removed", func() bool { return n.openRequests() == 0 })
 		})
 	}
 }
 
-// connectionEnds are the ends of established connections, with the codes of their log lines.
+// connectionEnds are ways in which established connections end, with the codes of their log lines.
 var connectionEnds = map[string]struct {
 	end  func(client, server *testConn)
 	code string
 }{
-	"the client ends": {func(client, server *testConn) {
+	"client half-closes": {func(client, server *testConn) {
 		client.send("last\r\nhalf")
 		client.CloseWrite()
 		server.expect("last\r\n")
-		if half, err := server.in.ReadString('\n'); half != "half" || err != io.EOF {
+		if half, err := server.reader.ReadString('\n'); half != "half" || err != io.EOF {
 			client.t.Errorf("got %q, %v", half, err)
 		}
 		server.send("BYE\r\n")
@@ -90,66 +94,68 @@
 		client.expect("BYE\r\n")
 		client.expectEnd(io.EOF)
 	}, "client_ended"},
-	"the server ends": {func(client, server *testConn) {
+	"server closes after BYE": {func(client, server *testConn) {
 		server.send("BYE\r\n")
 		server.Close()
 		client.expect("BYE\r\n")
 		client.expectEnd(io.EOF)
 	}, "server_ended"},
-	"the server ends without a word": {func(client, server *testConn) {
+	"server closes within a line": {func(client, server *testConn) {
 		server.send("half")
 		server.Close()
-		if half, err := client.in.ReadString('\n'); half != "half" || err != io.EOF {
+		if half, err := client.reader.ReadString('\n'); half != "half" || err != io.EOF {
 			client.t.Errorf("got %q, %v", half, err)
 		}
 	}, "server_broke"},
-	"the server sends the client away": {func(client, server *testConn) {
+	"server closes after MOVE": {func(client, server *testConn) {
 		server.send("MOVE\r\n")
 		server.Close()
 		client.expect("MOVE\r\n")
 		client.expectEnd(io.EOF)
 	}, "server_moved"},
-	"the client breaks": {func(client, server *testConn) {
+	"client resets": {func(client, server *testConn) {
 		client.reset()
 		server.expectEnd(syscall.ECONNRESET)
 	}, "client_reset"},
-	"the server breaks": {func(client, server *testConn) {
+	"server resets": {func(client, server *testConn) {
 		server.reset()
 		client.expectEnd(syscall.ECONNRESET)
 	}, "server_broke"},
-	// as where it closes over a message of the client's
-	"the server breaks after its last word": {func(client, server *testConn) {
+	// Closing a socket with unread data from the client sends a reset.
+	"server resets after BYE": {func(client, server *testConn) {
 		server.send("BYE\r\n")
 		server.reset()
 		client.expect("BYE\r\n")
 		client.expectEnd(io.EOF)
 	}, "server_ended"},
-	"the server breaks after it has sent the client away": {func(client, server *testConn) {
+	"server resets after MOVE": {func(client, server *testConn) {
 		server.send("MOVE\r\n")
 		server.reset()
 		client.expect("MOVE\r\n")
 		client.expectEnd(io.EOF)
 	}, "server_moved"},
-	"a line over the bound from the client": {func(client, server *testConn) {
+	"overlong line from the client": {func(client, server *testConn) {
 		go io.WriteString(client.TCPConn, strings.Repeat("x", 5000))
 		server.expectEnd(syscall.ECONNRESET)
 	}, "line_too_long"},
-	"a line over the bound from the server": {func(client, server *testConn) {
+	"overlong line from the server": {func(client, server *testConn) {
 		go io.WriteString(server.TCPConn, strings.Repeat("x", 5000))
 		client.expectEnd(syscall.ECONNRESET)
 	}, "line_too_long"},
 }
 
-func TestASlowReaderHoldsUpItsServer(t *testing.T) {
-	h := newTestServer(t, "s-1")
-	const silence = time.Second // a busy machine must not take so long for a line
+// Guards against a node that buffers without limit for a client that does not read, and against taking the server for
+// silent because its answer is queued behind the unread data.
+func TestSlowClientCausesBackpressure(t *testing.T) {
+	srv := newTestServer(t, "s-1")
+	const silence = time.Second // longer than a busy machine takes for a line
 	n := startNode(t, func(c *Config) {
 		c.Timeouts.ResponseSilenceMS, c.Timeouts.LateNoticeMS = silence.Milliseconds(), 500
-	}, h)
-	client, server := n.establish(h)
-	client.send("hello\r\n") // its answer is behind all that the client does not read: its server is not silent
+	}, srv)
+	client, server := n.establish(srv)
+	client.send("hello\r\n") // its answer is queued behind the data that the client does not read
 	server.expect("hello\r\n")
-	const lines = 20000 // of 1 KiB: far over what the sockets between take
+	const lines = 20000 // of 1 KiB, much more than the socket buffers hold
 	body := strings.Repeat("y", 1000)
 	sent := make(chan int, lines)
 	go func() {
@@ -161,40 +167,40 @@
 			sent <- i
 		}
 	}()
-	last, since := 0, time.Now()
-	n.waitFor("the server to be held up for longer than a silence", func() bool {
-		if now := len(sent); now != last {
-			last, since = now, time.Now()
+	lastCount, lastProgress := 0, time.Now()
+	n.waitFor("the server to be blocked for longer than the silence limit", func() bool {
+		if count := len(sent); count != lastCount {
+			lastCount, lastProgress = count, time.Now()
 		}
-		return last > 0 && time.Since(since) > silence+silence/10
+		return lastCount > 0 && time.Since(lastProgress) > silence+silence/10
 	})
 	if len(sent) == lines {
-		t.Fatal("all was taken while the client read nothing")
+		t.Fatal("the node read all lines while the client read nothing")
 	}
 	for i := range lines {
 		client.expect(fmt.Sprintf("LOAD %d %s\r\n", i, body))
 	}
 }
 
-// What a node writes itself has a time limit, which must not outlast it.
-func TestAPingMayBeFollowedByARequest(t *testing.T) {
-	h := newTestServer(t, "s-1")
-	n := startNode(t, func(c *Config) { c.Timeouts.CloseMS = 1 }, h)
-	c := n.dial()
-	c.send("PING\r\n")
-	c.expect("PONG\r\n")
-	c.send("OPEN id k c=chat,d=2000\r\n")
-	s, _ := h.accept(t)
-	time.Sleep(5 * time.Millisecond) // the limit has passed
-	s.send("UP r-1\r\n")
-	c.expect("UP r-1\r\n")
+// Guards against the write deadline of PONG staying in effect for the request that follows on the same connection.
+func TestRequestAfterPing(t *testing.T) {
+	srv := newTestServer(t, "s-1")
+	n := startNode(t, func(c *Config) { c.Timeouts.CloseMS = 1 }, srv)
+	client := n.dial()
+	client.send("PING\r\n")
+	client.expect("PONG\r\n")
+	client.send("OPEN id k c=chat,d=2000\r\n")
+	serverConn, _ := srv.accept(t)
+	time.Sleep(5 * time.Millisecond) // until the write deadline of PONG has passed
+	serverConn.send("UP r-1\r\n")
+	client.expect("UP r-1\r\n")
 }
 
-// Keep-alive does not notice a machine that has vanished: only missing answers do.
-func TestAClientOfASilentServerIsMoved(t *testing.T) {
-	h := newTestServer(t, "s-1")
-	n := startNode(t, func(c *Config) { c.Timeouts.ResponseSilenceMS, c.Timeouts.LateNoticeMS = 60, 20 }, h)
-	client, server := n.establish(h)
+// Guards against clients that stay with a server whose machine has vanished, which only missing answers reveal.
+func TestSilentServerMigratesClient(t *testing.T) {
+	srv := newTestServer(t, "s-1")
+	n := startNode(t, func(c *Config) { c.Timeouts.ResponseSilenceMS, c.Timeouts.LateNoticeMS = 60, 20 }, srv)
+	client, server := n.establish(srv)
 	client.send("hello\r\n")
 	server.expect("hello\r\n")
 	client.expect("MOVE\r\n")
@@ -203,17 +209,18 @@
 	n.expectCode("server_silent")
 }
 
-func TestAQuietConnectionStays(t *testing.T) {
-	h := newTestServer(t, "s-1")
-	n := startNode(t, func(c *Config) { c.Timeouts.ResponseSilenceMS, c.Timeouts.LateNoticeMS = 60, 20 }, h)
-	client, server := n.establish(h)
+// Guards against taking a server for silent while no message is unanswered.
+func TestIdleConnectionStaysOpen(t *testing.T) {
+	srv := newTestServer(t, "s-1")
+	n := startNode(t, func(c *Config) { c.Timeouts.ResponseSilenceMS, c.Timeouts.LateNoticeMS = 60, 20 }, srv)
+	client, server := n.establish(srv)
 	for range 3 {
 		client.send("ping\r\n")
 		server.expect("ping\r\n")
 		server.send("pong\r\n")
 		client.expect("pong\r\n")
-		client.SetReadDeadline(time.Now().Add(100 * time.Millisecond)) // longer than the silence allowed
-		if line, err := client.in.ReadString('\n'); err == nil || line != "" {
+		client.SetReadDeadline(time.Now().Add(100 * time.Millisecond)) // longer than the silence limit
+		if line, err := client.reader.ReadString('\n'); err == nil || line != "" {
 			t.Fatalf("got %q", line)
 		}
 		client.SetReadDeadline(time.Now().Add(testTimeout))
--- a/node/control_sockets_test.go
+++ b/node/control_sockets_test.go
@@ -9,31 +9,32 @@
 	"brassmux/internal/control"
 )
 
-const step = 5 * time.Millisecond
+// pollInterval is the interval at which the test repeats an action.
+const pollInterval = 5 * time.Millisecond
 
-// units are the times at which units of a quota were used, at all nodes.
+// units are the times at which all nodes used units of a quota.
 type units []time.Duration
 
-// in counts the units that were used between two times.
-func (u units) in(from, to time.Duration) (n int) {
+// countBetween counts the units that were used between two times.
+func (u units) countBetween(from, to time.Duration) (count int) {
 	for _, at := range u {
 		if at >= from && at < to {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// peak is the most in any second.
+// peak returns the largest number of units in any second.
 func (u units) peak() (peak int) {
 	for _, at := range u {
-		peak = max(peak, u.in(at, at+time.Second))
+		peak = max(peak, u.countBetween(at, at+time.Second))
 	}
 	return peak
 }
 
-// counterOf gives a counter by its name.
-func counterOf(n *Node, name string) int64 {
+// counterValue returns a counter by its name, or 0 if there is none.
+func counterValue(n *Node, name string) int64 {
 	for _, field := range n.Counters() {
 		if field.Key == name {
 			return field.Integer
@@ -42,85 +43,87 @@
 	return 0
 }
 
-// maxLateness bounds how late the test's own goroutine may be: past it units are counted late, so windows are not what
-// they were.
+// maxLateness limits how late the goroutine of the test may run. Beyond that, units are counted too late and appear in
+// the wrong window.
 const maxLateness = 200 * time.Millisecond
 
-// Four nodes and two control machines on sockets: one node that wants it has more than half of the limit in a second,
-// also once its control machine has died, and all together never have more than the limit, counted where the units are
-// used.
-func TestAFleetWithControlMachinesOnSockets(t *testing.T) {
-	for range 8 { // on a machine that was late nothing is shown
-		late := testFleetOnSockets(t)
-		if late < maxLateness {
+// Guards against wrong division of a quota among four nodes and two control machines over real sockets. A single node
+// with demand must get more than half of the limit, also after its control machine has failed and after a reload, and
+// all nodes together must never use more than the limit.
+func TestControlMachinesOverSockets(t *testing.T) {
+	for range 8 { // a run on an overloaded machine proves nothing
+		lateness := runSocketFleet(t)
+		if lateness < maxLateness {
 			return
 		}
-		t.Logf("void: late by %v", late)
+		t.Logf("run ignored: goroutine late by %v", lateness)
 	}
-	t.Fatal("late eight times")
+	t.Fatal("the goroutine was late in all eight runs")
 }
 
-// The fleet and the quota that it shares, of units in any second.
+// The size of the fleet, and its limit of units per second.
 const (
 	fleetNodes    = 4
 	fleetMachines = 2
 	fleetLimit    = 60
 )
 
-// socketFleet is nodes below control machines on sockets.
+// socketFleet is a set of nodes below control machines that communicate over sockets.
 type socketFleet struct {
-	t        *testing.T
-	list     *fakeDiscovery
-	nodes    []*Node
-	machines []*Node
-	children []string // the control machines' addresses for children
-	begun    time.Time
-	late     time.Duration // how late the test's goroutine was at the most
-
-	mu    sync.Mutex
-	spent units
+	t               *testing.T
+	discoveryServer *fakeDiscovery
+	nodes           []*Node
+	machines        []*Node
+	childAddrs      []string // the addresses of the control machines for children
+	startedAt       time.Time
+	lateness        time.Duration // the largest delay of the goroutine of the test
+
+	mu   sync.Mutex
+	used units
 }
 
-// newSocketFleet starts all; the control machines know one another once all have their addresses.
+// newSocketFleet starts all processes. It connects the control machines once all of them have their addresses.
 func newSocketFleet(t *testing.T) *socketFleet {
-	f := &socketFleet{t: t, list: &fakeDiscovery{addr: "127.0.0.1:1"}}
-	var group []string
+	f := &socketFleet{t: t, discoveryServer: &fakeDiscovery{addr: "127.0.0.1:1"}}
+	var peerAddrs []string
 	for i := range fleetMachines {
-		n := f.make(0, Peers{Listen: "127.0.0.1:0", NodeAddrs: []string{"127.0.0.1:1", "127.0.0.1:2"},
+		n := f.newNode(0, Peers{Listen: "127.0.0.1:0", NodeAddrs: []string{"127.0.0.1:1", "127.0.0.1:2"},
 			ChildListen: "127.0.0.1:0", ControlIndex: i})
 		f.machines = append(f.machines, n)
-		group = append(group, n.loop.control.Addr().String())
-		f.children = append(f.children, n.loop.control.ChildAddr().String())
+		peerAddrs = append(peerAddrs, n.loop.control.Addr().String())
+		f.childAddrs = append(f.childAddrs, n.loop.control.ChildAddr().String())
 	}
 	for _, n := range f.machines {
-		if err := n.loop.control.SetPeers(group); err != nil {
+		if err := n.loop.control.SetPeers(peerAddrs); err != nil {
 			t.Fatal(err)
 		}
 		f.serve(n)
 	}
 	for i := range fleetNodes {
-		n := f.make(i, Peers{Listen: "127.0.0.1:0", ControlAddrs: []string{f.children[i%2], f.children[1-i%2]}})
+		n := f.newNode(i, Peers{Listen: "127.0.0.1:0", ControlAddrs: []string{f.childAddrs[i%2], f.childAddrs[1-i%2]}})
 		f.nodes = append(f.nodes, n)
 		f.serve(n)
 	}
-	f.begun = time.Now()
+	f.startedAt = time.Now()
 	return f
 }
 
-func (f *socketFleet) make(index int, p Peers) *Node {
-	c := testConfig(f.t, f.list)
-	c.Settings.NodeCount, c.Settings.NodeIndex = fleetNodes, index
-	c.Settings.Limits.GossipAllowed, c.Settings.Workload.ConnectionQuotas = true, []float64{100}
-	c.Peers = p
-	c.Budgets = Budgets{Leased: true, GuaranteedShare: 0.5, RetriesPerSecond: fleetLimit, HeartbeatMS: 40,
+// newNode returns a node with these peers that does not run yet.
+func (f *socketFleet) newNode(index int, peers Peers) *Node {
+	cfg := testConfig(f.t, f.discoveryServer)
+	cfg.Settings.NodeCount, cfg.Settings.NodeIndex = fleetNodes, index
+	cfg.Settings.Limits.GossipAllowed, cfg.Settings.Workload.ConnectionQuotas = true, []float64{100}
+	cfg.Peers = peers
+	cfg.Budgets = Budgets{Leased: true, GuaranteedShare: 0.5, RetriesPerSecond: fleetLimit, HeartbeatMS: 40,
 		ChildLeaseTermMS: 100, LeaseTermMS: 200}
-	n, err := New(c, nil)
+	n, err := New(cfg, nil)
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	return n
 }
 
+// serve runs a node until the test ends.
 func (f *socketFleet) serve(n *Node) {
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -131,92 +134,95 @@
 	})
 }
 
-func (f *socketFleet) want(n *Node) {
-	l := n.loop
-	l.post(func() {
-		l.control.Acquire(control.Retries, 0, quotaWait, func(ok bool) {
+// acquireRetry makes a node acquire a unit of the quota of retries, and records when it is granted.
+func (f *socketFleet) acquireRetry(n *Node) {
+	loop := n.loop
+	loop.post(func() {
+		loop.control.Acquire(control.Retries, 0, quotaWait, func(ok bool) {
 			if ok {
 				f.mu.Lock()
-				f.spent = append(f.spent, time.Since(f.begun))
+				f.used = append(f.used, time.Since(f.startedAt))
 				f.mu.Unlock()
 			}
 		})
-		l.control.SendRequests()
+		loop.control.SendRequests()
 	})
 }
 
-// until does something again and again until something is so, and notes how late it is.
-func (f *socketFleet) until(what string, do func(), good func() bool) {
+// pollUntil repeats an action until isDone returns true, and records how late its goroutine runs.
+func (f *socketFleet) pollUntil(description string, action func(), isDone func() bool) {
 	f.t.Helper()
 	last := time.Now()
-	for end := last.Add(2 * testTimeout); !good(); {
-		time.Sleep(step)
+	for deadline := last.Add(2 * testTimeout); !isDone(); {
+		time.Sleep(pollInterval)
 		now := time.Now()
-		f.late, last = max(f.late, now.Sub(last)-step), now
-		if now.After(end) {
-			f.t.Fatalf("%s: did not come: %d units, late by %v, %v", what, len(f.spent), f.late,
-				f.machines[0].Counters())
+		f.lateness, last = max(f.lateness, now.Sub(last)-pollInterval), now
+		if now.After(deadline) {
+			f.t.Fatalf("timeout waiting for %s: %d units, goroutine late by %v, %v", description, len(f.used),
+				f.lateness, f.machines[0].Counters())
 		}
-		do()
+		action()
 	}
 }
 
-// hasHalf reports whether there was a second with more than half of the limit, after a moment.
-func (f *socketFleet) hasHalf(after time.Duration) func() bool {
+// hasHalf returns a condition: at least half of the limit was used in the last second, which began after from.
+func (f *socketFleet) hasHalf(from time.Duration) func() bool {
 	return func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		now := time.Since(f.begun)
-		return now >= after+time.Second && f.spent.in(now-time.Second, now) >= fleetLimit/2
+		now := time.Since(f.startedAt)
+		return now >= from+time.Second && f.used.countBetween(now-time.Second, now) >= fleetLimit/2
 	}
 }
 
-// leader is the control machine that the first node follows, by its preference.
+// leader returns the control machine that the first node follows, as an index into its ControlAddrs.
 func (f *socketFleet) leader() int {
-	got := make(chan int, 1)
-	f.nodes[0].loop.post(func() { got <- f.nodes[0].loop.control.State().Leader })
-	return <-got
+	leader := make(chan int, 1)
+	f.nodes[0].loop.post(func() { leader <- f.nodes[0].loop.control.State().Leader })
+	return <-leader
 }
 
-func testFleetOnSockets(t *testing.T) (late time.Duration) {
+// runSocketFleet runs the test once, and returns how late its goroutine was.
+func runSocketFleet(t *testing.T) (lateness time.Duration) {
 	f := newSocketFleet(t)
 	first := f.nodes[0]
-	f.until("half of the limit for one", func() { f.want(first) }, f.hasHalf(0))
-	f.until("all want", func() {
+	f.pollUntil("half of the limit for one node", func() { f.acquireRetry(first) }, f.hasHalf(0))
+	f.pollUntil("half of the limit for all nodes", func() {
 		for _, n := range f.nodes {
-			f.want(n)
+			f.acquireRetry(n)
 		}
-	}, f.hasHalf(time.Since(f.begun)))
-	f.machines[0].cancel() // as a crash: it notifies nobody
-	died := time.Since(f.begun)
-	f.until("half of the limit for one after a death", func() { f.want(first) }, f.hasHalf(died))
+	}, f.hasHalf(time.Since(f.startedAt)))
+	f.machines[0].cancel() // like a crash, without notice to the other processes
+	diedAt := time.Since(f.startedAt)
+	f.pollUntil("half of the limit after a crash", func() { f.acquireRetry(first) }, f.hasHalf(diedAt))
 	if leader := f.leader(); leader != 1 {
-		t.Errorf("node 0 asks number %d of its preference after the first has died", leader)
+		t.Errorf("node 0 follows control machine %d after the crash of 0, want 1", leader)
 	}
 	cfg := first.cfg
-	cfg.Peers.ControlAddrs = f.children[1:]
-	if err := first.Reload(cfg); err != nil { // as on SIGHUP
+	cfg.Peers.ControlAddrs = f.childAddrs[1:]
+	if err := first.Reload(cfg); err != nil { // like SIGHUP
 		t.Fatal(err)
 	}
-	f.until("the list of the reload", func() {}, func() bool { return f.leader() == 0 })
-	f.until("half of the limit for one after a reload", func() { f.want(first) }, f.hasHalf(time.Since(f.begun)))
+	f.pollUntil("the control machine of the reload", func() {}, func() bool { return f.leader() == 0 })
+	f.pollUntil("half of the limit after a reload", func() { f.acquireRetry(first) },
+		f.hasHalf(time.Since(f.startedAt)))
 	f.check()
-	return f.late
+	return f.lateness
 }
 
-// check compares what was used with the limit.
+// check compares the used units with the limit.
 func (f *socketFleet) check() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if n := f.spent.peak(); n > fleetLimit && f.late < maxLateness {
-		f.t.Errorf("%d of %d in a second", n, fleetLimit)
+	if n := f.used.peak(); n > fleetLimit && f.lateness < maxLateness {
+		f.t.Errorf("%d units in a second, limit %d", n, fleetLimit)
 	}
 	passed := int64(0)
 	for _, n := range f.machines {
-		passed += counterOf(n, "budget_passed")
+		passed += counterValue(n, "budget_passed")
 	}
 	if passed == 0 {
 		f.t.Error("no unit came through a control machine")
 	}
-	f.t.Logf("%d units, %d of them through control machines, late by %v", len(f.spent), passed, f.late)
+	f.t.Logf("%d units, %d of them through control machines, goroutine late by %v", len(f.used), passed, f.lateness)
 }
--- a/node/control_test.go
+++ b/node/control_test.go
@@ -14,61 +14,63 @@
 	"brassmux/internal/discovery"
 )
 
-func leased(t *testing.T) Config {
+// leasingConfig returns a valid configuration of one of two nodes that share quotas by leases.
+func leasingConfig(t *testing.T) Config {
 	t.Helper()
-	c := testConfig(t, &fakeDiscovery{addr: "127.0.0.1:1"})
-	c.Settings.NodeCount, c.Settings.Limits.GossipAllowed = 2, true
-	c.Settings.Workload.ConnectionQuotas = []float64{1000}
-	servers := &c.Settings.Servers
-	servers.SlowStartMinCapacity, servers.SlowStartWindowMicros = 0.5, 60_000_000
-	servers.OverloadFactor, servers.OverloadWindowMicros = 3, 2_000_000
-	c.Peers = Peers{Listen: "127.0.0.1:0", NodeAddrs: []string{"127.0.0.1:2", "127.0.0.1:3"}}
-	c.Budgets.Leased = true
-	if faults := c.Validate(); len(faults) > 0 {
+	cfg := testConfig(t, &fakeDiscovery{addr: "127.0.0.1:1"})
+	cfg.Settings.NodeCount, cfg.Settings.Limits.GossipAllowed = 2, true
+	cfg.Settings.Workload.ConnectionQuotas = []float64{1000}
+	settings := &cfg.Settings.Servers
+	settings.SlowStartMinCapacity, settings.SlowStartWindowMicros = 0.5, 60_000_000
+	settings.OverloadFactor, settings.OverloadWindowMicros = 3, 2_000_000
+	cfg.Peers = Peers{Listen: "127.0.0.1:0", NodeAddrs: []string{"127.0.0.1:2", "127.0.0.1:3"}}
+	cfg.Budgets.Leased = true
+	if faults := cfg.Validate(); len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	return c
+	return cfg
 }
 
-// Guards against a part that is spent twice in one window, since the list took a server in slow start away and brought
-// it back, or since the time of an earlier event was taken for now.
-func TestAWindowOutlivesTheListAndTheEvent(t *testing.T) {
-	c := leased(t)
-	l := newLoop(t.Context(), &c, zap.NewNop())
-	now := 20 * time.Second // what a start before this one did is past
-	l.uptime = func() time.Duration { return now }
-	s := discovery.Endpoint{ID: 7, Addr: "127.0.0.1:4", State: "up",
+// Guards against a slow-start share that is used twice in one window, because a server was removed from the endpoint
+// list and added again, or because the time of an earlier event was taken for the current time.
+func TestSlowStartBudgetSurvivesListChanges(t *testing.T) {
+	cfg := leasingConfig(t)
+	loop := newLoop(t.Context(), &cfg, zap.NewNop())
+	now := 20 * time.Second // after the time in which an earlier process may have used the share
+	loop.uptime = func() time.Duration { return now }
+	endpoint := discovery.Endpoint{ID: 7, Addr: "127.0.0.1:4", State: "up",
 		StartedAtMillis: time.Now().Add(-time.Second).UnixMilli()}
-	list := func(state string) {
-		s.State = state
-		l.applyEndpointList(&discovery.EndpointList{Servers: []discovery.Endpoint{s}})
+	applyList := func(state string) {
+		endpoint.State = state
+		loop.applyEndpointList(&discovery.EndpointList{Servers: []discovery.Endpoint{endpoint}})
 	}
-	list("up")
-	part := l.control.Remaining(7)
-	if part < 2 {
-		t.Fatalf("the node's part is %d", part)
+	applyList("up")
+	share := loop.control.Remaining(7)
+	if share < 2 {
+		t.Fatalf("the node's share is %d, want at least 2", share)
 	}
-	for range part {
-		if !l.control.Take(7) {
-			t.Fatal("less than was said")
+	for range share {
+		if !loop.control.Take(7) {
+			t.Fatal("fewer units than Remaining returned")
 		}
 	}
-	list("draining")
-	if l.control.Take(7) || l.control.InSlowStart(7) {
-		t.Error("a server that drains has a part")
+	applyList("draining")
+	if loop.control.Take(7) || loop.control.InSlowStart(7) {
+		t.Error("a draining server has a share")
 	}
 	now += time.Second
-	list("up")
-	if n := l.control.Remaining(7); n > part/2 { // the whole has grown a little meanwhile
-		t.Errorf("%d may be spent within the window of %d", n, part)
+	applyList("up")
+	if remaining := loop.control.Remaining(7); remaining > share/2 { // the total has grown a little in the meantime
+		t.Errorf("%d units remain within the window, want at most half of %d", remaining, share)
 	}
-	now += 3 * time.Second // no event tells of it
-	if n := l.control.Remaining(balance.ServerID(7)); n < part {
-		t.Errorf("%d may be spent after the window, %d before", n, part)
+	now += 3 * time.Second // without an event
+	if remaining := loop.control.Remaining(balance.ServerID(7)); remaining < share {
+		t.Errorf("%d units remain after the window, want at least %d", remaining, share)
 	}
 }
 
-func TestFaultyKeysOfBudgets(t *testing.T) {
+// Guards against invalid keys of budgets and peers that are accepted or not named in the error.
+func TestInvalidBudgetKeys(t *testing.T) {
 	for want, change := range map[string]func(c *Config){
 		"peers.listen":           func(c *Config) { c.Peers.Listen = "here" },
 		"peers.nodes[1]":         func(c *Config) { c.Peers.NodeAddrs[1] = "somewhere:9" },
@@ -88,108 +90,118 @@
 		"moves_per_s: needs":     func(c *Config) { c.Budgets.MovesPerSecond, c.Budgets.Leased = 5, false },
 		"retries_per_s: needs":   func(c *Config) { c.Budgets.RetriesPerSecond, c.Budgets.Leased = 5, false },
 	} {
-		c := leased(t)
-		change(&c)
-		if text := fmt.Sprint(c.Validate()); !strings.Contains(text, want) {
+		cfg := leasingConfig(t)
+		change(&cfg)
+		if text := fmt.Sprint(cfg.Validate()); !strings.Contains(text, want) {
 			t.Errorf("%q does not name %q", text, want)
 		}
 	}
 }
 
-// below makes a node of two below a control machine, above the control machine itself.
-func below(t *testing.T) Config {
-	c := leased(t)
-	c.Peers = Peers{Listen: "127.0.0.1:0", ControlAddrs: []string{"127.0.0.1:2"}}
-	return c
+// childConfig returns a valid configuration of one of two nodes below a control machine.
+func childConfig(t *testing.T) Config {
+	cfg := leasingConfig(t)
+	cfg.Peers = Peers{Listen: "127.0.0.1:0", ControlAddrs: []string{"127.0.0.1:2"}}
+	return cfg
 }
 
-func above(t *testing.T) Config {
-	c := leased(t)
-	c.Peers = Peers{Listen: "127.0.0.1:0", NodeAddrs: []string{"127.0.0.1:2"}, ChildListen: "127.0.0.1:0"}
-	return c
+// controlMachineConfig returns a valid configuration of a control machine.
+func controlMachineConfig(t *testing.T) Config {
+	cfg := leasingConfig(t)
+	cfg.Peers = Peers{Listen: "127.0.0.1:0", NodeAddrs: []string{"127.0.0.1:2"}, ChildListen: "127.0.0.1:0"}
+	return cfg
 }
 
-// Each faulty key of control machines is named, alone, at a start, by check and on a reload.
-func TestFaultyKeysOfControlMachines(t *testing.T) {
-	many := make([]string, maxControlMachines+1)
-	for i := range many {
-		many[i] = fmt.Sprintf("127.0.0.1:%d", 100+i)
+// Guards against invalid keys of control machines that are accepted by Validate, New or Reload, or not named in the
+// error. Each configuration has one invalid key.
+func TestInvalidControlMachineKeys(t *testing.T) {
+	tooManyAddrs := make([]string, maxControlMachines+1)
+	for i := range tooManyAddrs {
+		tooManyAddrs[i] = fmt.Sprintf("127.0.0.1:%d", 100+i)
 	}
-	for _, c := range []struct {
-		of     func(t *testing.T) Config
-		want   string
-		change func(c *Config)
+	for _, test := range []struct {
+		newConfig func(t *testing.T) Config
+		want      string
+		change    func(c *Config)
 	}{
-		{below, "peers.control[0]", func(c *Config) { c.Peers.ControlAddrs[0] = "somewhere:9" }},
-		{below, "that of control[0] too", func(c *Config) {
+		{childConfig, "peers.control[0]", func(c *Config) { c.Peers.ControlAddrs[0] = "somewhere:9" }},
+		{childConfig, "that of control[0] too", func(c *Config) {
 			c.Peers.ControlAddrs = append(c.Peers.ControlAddrs, c.Peers.ControlAddrs[0])
 		}},
-		{below, "peers.control: 33 addresses", func(c *Config) { c.Peers.ControlAddrs = many }},
-		{below, "peers.control: this node is number 2 of 2", func(c *Config) { c.Settings.NodeIndex = 2 }},
-		{below, "peers.control: this node is number 0 of 65537", func(c *Config) { c.Settings.NodeCount = 65537 }},
-		{below, "peers.nodes: a node with peers.control", func(c *Config) {
+		{childConfig, "peers.control: 33 addresses", func(c *Config) { c.Peers.ControlAddrs = tooManyAddrs }},
+		{childConfig, "peers.control: this node is number 2 of 2", func(c *Config) { c.Settings.NodeIndex = 2 }},
+		{childConfig, "peers.control: this node is number 0 of 65537", func(c *Config) {
+			c.Settings.NodeCount = 65537
+		}},
+		{childConfig, "peers.nodes: a node with peers.control", func(c *Config) {
 			c.Peers.NodeAddrs = []string{"127.0.0.1:3"}
 		}},
-		{below, "peers.children: a node with peers.control", func(c *Config) { c.Peers.ChildListen = "127.0.0.1:0" }},
-		{below, "peers.index: 1", func(c *Config) { c.Peers.ControlIndex = 1 }},
-		{below, "peers.listen", func(c *Config) { c.Peers.Listen = "" }},
-		{below, "bars talk", func(c *Config) { c.Settings.Limits.GossipAllowed = false }},
-		{below, "budgets.open_per_customer: is not divided", func(c *Config) { c.Budgets.OpenPerCustomer = 5 }},
-		{below, "budgets.child_term_ms", func(c *Config) { c.Budgets.ChildLeaseTermMS = 49 }},
-		{above, "peers.children: \"here\"", func(c *Config) { c.Peers.ChildListen = "here" }},
-		{above, "peers.children: 65537 nodes", func(c *Config) { c.Settings.NodeCount = 65537 }},
-		{above, "peers.nodes: 33 addresses", func(c *Config) { c.Peers.NodeAddrs = many }},
-		{above, "peers.nodes: 0 addresses", func(c *Config) { c.Peers.NodeAddrs = nil }},
-		{above, "peers.index: 1 is none", func(c *Config) { c.Peers.ControlIndex = 1 }},
-		{above, "peers.index: -1 is none", func(c *Config) { c.Peers.ControlIndex = -1 }},
-		{above, "bars talk", func(c *Config) { c.Settings.Limits.GossipAllowed = false }},
-		{above, "budgets.control_floor", func(c *Config) { c.Budgets.ControlGuaranteedShare = 1.1 }},
-		{above, "budgets.open_per_customer: is not divided", func(c *Config) { c.Budgets.OpenPerCustomer = 5 }},
-		{leased, "peers.index: 1 is for a control machine", func(c *Config) { c.Peers.ControlIndex = 1 }},
+		{childConfig, "peers.children: a node with peers.control", func(c *Config) {
+			c.Peers.ChildListen = "127.0.0.1:0"
+		}},
+		{childConfig, "peers.index: 1", func(c *Config) { c.Peers.ControlIndex = 1 }},
+		{childConfig, "peers.listen", func(c *Config) { c.Peers.Listen = "" }},
+		{childConfig, "bars talk", func(c *Config) { c.Settings.Limits.GossipAllowed = false }},
+		{childConfig, "budgets.open_per_customer: is not divided", func(c *Config) { c.Budgets.OpenPerCustomer = 5 }},
+		{childConfig, "budgets.child_term_ms", func(c *Config) { c.Budgets.ChildLeaseTermMS = 49 }},
+		{controlMachineConfig, "peers.children: \"here\"", func(c *Config) { c.Peers.ChildListen = "here" }},
+		{controlMachineConfig, "peers.children: 65537 nodes", func(c *Config) { c.Settings.NodeCount = 65537 }},
+		{controlMachineConfig, "peers.nodes: 33 addresses", func(c *Config) { c.Peers.NodeAddrs = tooManyAddrs }},
+		{controlMachineConfig, "peers.nodes: 0 addresses", func(c *Config) { c.Peers.NodeAddrs = nil }},
+		{controlMachineConfig, "peers.index: 1 is none", func(c *Config) { c.Peers.ControlIndex = 1 }},
+		{controlMachineConfig, "peers.index: -1 is none", func(c *Config) { c.Peers.ControlIndex = -1 }},
+		{controlMachineConfig, "bars talk", func(c *Config) { c.Settings.Limits.GossipAllowed = false }},
+		{controlMachineConfig, "budgets.control_floor", func(c *Config) { c.Budgets.ControlGuaranteedShare = 1.1 }},
+		{controlMachineConfig, "budgets.open_per_customer: is not divided", func(c *Config) {
+			c.Budgets.OpenPerCustomer = 5
+		}},
+		{leasingConfig, "peers.index: 1 is for a control machine", func(c *Config) { c.Peers.ControlIndex = 1 }},
 	} {
-		cfg := c.of(t)
+		cfg := test.newConfig(t)
 		if faults := cfg.Validate(); len(faults) > 0 {
 			t.Fatal(faults)
 		}
 		n := &Node{cfg: cfg, log: zap.NewNop()}
-		c.change(&cfg)
-		if text := fmt.Sprint(cfg.Validate()); !strings.Contains(text, c.want) {
-			t.Errorf("%q does not name %q", text, c.want)
+		test.change(&cfg)
+		if text := fmt.Sprint(cfg.Validate()); !strings.Contains(text, test.want) {
+			t.Errorf("%q does not name %q", text, test.want)
 		}
 		if _, err := New(cfg, nil); err == nil || !strings.HasPrefix(err.Error(), "config: ") {
-			t.Errorf("%s: a start gives %v", c.want, err)
+			t.Errorf("%s: New returned %v", test.want, err)
 		}
 		if err := n.Reload(cfg); err == nil {
-			t.Errorf("%s: a reload takes it", c.want)
+			t.Errorf("%s: Reload accepted the configuration", test.want)
 		}
 	}
 }
 
-// peerLink hands messages to peers to the test; there are no children.
+// peerLink passes messages for peers to a function. There are no children.
 type peerLink func(to int, message budget.Message)
 
+// SendToPeer passes a message for a peer to the function.
 func (l peerLink) SendToPeer(to int, message budget.Message) { l(to, message) }
 
+// SendToChild does nothing.
 func (l peerLink) SendToChild(int, budget.LeaseResponse) {}
 
-// twoNodes is a node's loop and the part of another node in shared quotas, on one clock, with a network between them.
+// twoNodes connects the loop of one node with the quota protocol of another node. Both use the same simulated clock.
 type twoNodes struct {
 	loop     *loop
 	now      time.Duration
-	requests int // units that the loop's node has requested
+	requests int // units that the loop has requested from the other node
 }
 
-// newTwoNodes makes two that share 40 units of new connections in any second, half of them guaranteed.
+// newTwoNodes returns two nodes that share 40 new connections per second, half of them as guaranteed shares.
 func newTwoNodes(t *testing.T, index int) *twoNodes {
-	p := &twoNodes{now: 20 * time.Second} // what a start before this one did is past
-	c := leased(t)
-	c.Budgets.OpensPerSecond, c.Budgets.GuaranteedShare, c.Settings.NodeIndex = 40, 0.5, index
-	if faults := c.Validate(); len(faults) > 0 {
+	p := &twoNodes{now: 20 * time.Second} // after the time in which an earlier process may have used units
+	cfg := leasingConfig(t)
+	cfg.Budgets.OpensPerSecond, cfg.Budgets.GuaranteedShare, cfg.Settings.NodeIndex = 40, 0.5, index
+	if faults := cfg.Validate(); len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	p.loop = newLoop(t.Context(), &c, zap.NewNop())
+	p.loop = newLoop(t.Context(), &cfg, zap.NewNop())
 	p.loop.uptime = func() time.Duration { return p.now }
-	const window = 2250 * time.Millisecond // the longest of any quota
+	const window = 2250 * time.Millisecond // the longest window of any quota
 	other := budget.New(budget.Settings{Nodes: 2, Index: 1 - index, GuaranteedFraction: 0.5, MaxWindow: window,
 		LeaseTerm: time.Second, HeartbeatInterval: 400 * time.Millisecond}, 1, 0)
 	p.loop.control.Connect(peerLink(func(_ int, message budget.Message) {
@@ -201,7 +213,7 @@
 	return p
 }
 
-// deliver queues the messages of the other node.
+// deliver queues messages of the other node in the loop.
 func (p *twoNodes) deliver(from int, actions []budget.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -213,8 +225,8 @@
 	}
 }
 
-// meet lasts until one of the nodes leads.
-func (p *twoNodes) meet() {
+// electLeader advances the clock by five heartbeats, in which one of the nodes becomes the leader.
+func (p *twoNodes) electLeader() {
 	for range 5 {
 		for p.loop.control.Tick(); len(p.loop.events) > 0; {
 			(<-p.loop.events)()
@@ -223,12 +235,13 @@
 	}
 }
 
-// newFollower gives the loop of the one of two nodes that follows: the one that leads has nobody to request units from.
+// newFollower returns two nodes of which the loop's is the follower. The leader could not request units from another
+// node.
 func newFollower(t *testing.T) *twoNodes {
 	var p *twoNodes
 	for index := range 2 {
 		p = newTwoNodes(t, index)
-		if p.meet(); p.loop.control.State().Leader == 1-index {
+		if p.electLeader(); p.loop.control.State().Leader == 1-index {
 			break
 		}
 	}
@@ -238,13 +251,13 @@
 	return p
 }
 
-// Guards against units for others than this node's clients that are taken beside the quota: who asks gets the node's
-// part and no more, is answered once, and what is short is requested at once, not with the next heartbeat.
+// Guards against Acquire exceeding the quota. Callers get at most the node's share, done is called once per call, and
+// missing units are requested at once instead of with the next heartbeat.
 func TestAcquireForOtherPrograms(t *testing.T) {
 	p := newFollower(t)
 	n := &Node{loop: p.loop}
 	answers, taken := 0, 0
-	for range 12 { // nobody waits for an answer here
+	for range 12 { // without waiting for units of the other node
 		if err := n.Acquire("opens_per_s", 7, 0, func(ok bool) {
 			answers++
 			if ok {
@@ -255,20 +268,20 @@
 		}
 	}
 	if answers != 0 || len(p.loop.events) != 12 {
-		t.Fatalf("%d answers from the caller's goroutine, %d in the queue", answers, len(p.loop.events))
+		t.Fatalf("done was called %d times by the caller's goroutine, %d calls are queued", answers, len(p.loop.events))
 	}
 	for range 12 {
 		(<-p.loop.events)()
 	}
-	if answers != 12 || taken != 10 { // half of the limit is guaranteed, half of that to this node
-		t.Errorf("%d answers, %d units taken, not 12 and 10", answers, taken)
+	if answers != 12 || taken != 10 { // half of the limit is guaranteed, and half of that to this node
+		t.Errorf("%d answers and %d units acquired, want 12 and 10", answers, taken)
 	}
 	if p.requests == 0 {
-		t.Error("nothing was requested from the other node")
+		t.Error("no unit was requested from the other node")
 	}
 }
 
-// Acquire says what is wrong with a limit that it cannot use, and calls nobody back.
+// Guards against Acquire accepting a limit that it cannot use. It must return the error and not call done.
 func TestAcquireOfUnusableLimits(t *testing.T) {
 	p := newFollower(t)
 	n := &Node{loop: p.loop}
@@ -279,17 +292,17 @@
 		{"", "no rate", ErrUnknownRate}, {"cold", "no rate", ErrUnknownRate},
 		{"open_per_customer", "no rate", ErrUnknownRate}, {"retries_per_s", "no bound", ErrNoLimit},
 	} {
-		err := n.Acquire(test.limit, 1, 0, func(bool) { t.Errorf("%q was answered", test.limit) })
+		err := n.Acquire(test.limit, 1, 0, func(bool) { t.Errorf("done was called for %q", test.limit) })
 		if !errors.Is(err, test.want) || !strings.Contains(err.Error(), test.text) {
-			t.Errorf("%q: %v, not %q", test.limit, err, test.text)
+			t.Errorf("%q: got error %v, want %q", test.limit, err, test.text)
 		}
 	}
 	if len(p.loop.events) != 0 {
-		t.Fatal("what is rejected got to the loop")
+		t.Fatal("a rejected call was posted to the loop")
 	}
-	plain := testConfig(t, &fakeDiscovery{addr: "127.0.0.1:1"})
-	n = &Node{loop: newLoop(t.Context(), &plain, zap.NewNop())}
+	cfg := testConfig(t, &fakeDiscovery{addr: "127.0.0.1:1"})
+	n = &Node{loop: newLoop(t.Context(), &cfg, zap.NewNop())}
 	if err := n.Acquire("opens_per_s", 7, 0, func(bool) {}); !errors.Is(err, ErrLeasingDisabled) {
-		t.Errorf("a node that shares nothing: %v", err)
+		t.Errorf("without leases: got error %v", err)
 	}
 }
--- a/node/control_tree_test.go
+++ b/node/control_tree_test.go
@@ -9,7 +9,8 @@
 	"brassmux/internal/control"
 )
 
-// treeConfigs are those of the trees that the tests of internal/control play: nodes first, then control machines.
+// treeConfigs returns configurations of nodes, followed by those of the control machines above them, like the trees in
+// the tests of internal/control.
 func treeConfigs(t *testing.T, nodes, machines int) (configs []Config) {
 	t.Helper()
 	var addrs []string
@@ -17,55 +18,56 @@
 		addrs = append(addrs, fmt.Sprintf("127.0.0.1:%d", 2+i))
 	}
 	for i := range nodes + machines {
-		c := leased(t)
-		c.Settings.NodeCount, c.Settings.NodeIndex = nodes, i
-		c.Peers = Peers{Listen: "127.0.0.1:0", ControlAddrs: addrs}
+		cfg := leasingConfig(t)
+		cfg.Settings.NodeCount, cfg.Settings.NodeIndex = nodes, i
+		cfg.Peers = Peers{Listen: "127.0.0.1:0", ControlAddrs: addrs}
 		if i >= nodes {
-			c.Settings.NodeIndex = 0
-			c.Peers = Peers{Listen: "127.0.0.1:0", NodeAddrs: addrs, ChildListen: "127.0.0.1:0",
+			cfg.Settings.NodeIndex = 0
+			cfg.Peers = Peers{Listen: "127.0.0.1:0", NodeAddrs: addrs, ChildListen: "127.0.0.1:0",
 				ControlIndex: i - nodes}
 		}
-		configs = append(configs, c)
+		configs = append(configs, cfg)
 	}
 	return configs
 }
 
-// The tests of internal/control write their configuration out. It is that of a node whose configuration is valid.
-func TestConfigurationsOfTreesAreValid(t *testing.T) {
+// Guards against tests of internal/control that use settings which no valid node configuration results in.
+func TestControlTreeConfigsAreValid(t *testing.T) {
 	const nodes, machines, limit = 6, 3, 60
 	for _, change := range []func(*Config){
 		func(c *Config) { c.Budgets.RetriesPerSecond = limit },
 		func(c *Config) { c.Budgets.OpensPerSecond = limit },
 	} {
-		for i, c := range treeConfigs(t, nodes, machines) {
-			change(&c)
-			if faults := c.Validate(); len(faults) > 0 {
+		for i, cfg := range treeConfigs(t, nodes, machines) {
+			change(&cfg)
+			if faults := cfg.Validate(); len(faults) > 0 {
 				t.Fatalf("process %d: %v", i, faults)
 			}
-			b := c.Settings.BalanceConfig()
-			checkTreeControl(t, i, c.controlConfig(&b, 1, time.Hour))
+			balanceConfig := cfg.Settings.BalanceConfig()
+			checkControlConfig(t, i, cfg.controlConfig(&balanceConfig, 1, time.Hour))
 		}
 	}
 }
 
-func checkTreeControl(t *testing.T, process int, c control.Config) {
+// checkControlConfig compares a configuration with the one that the tests of internal/control use.
+func checkControlConfig(t *testing.T, process int, cfg control.Config) {
 	t.Helper()
-	if c.Guaranteed != 0.5 || c.ControlGuaranteed != 0.5 || c.MaxClockDrift != 0.001 || c.Children != 6 {
-		t.Errorf("process %d: %+v", process, c)
+	if cfg.Guaranteed != 0.5 || cfg.ControlGuaranteed != 0.5 || cfg.MaxClockDrift != 0.001 || cfg.Children != 6 {
+		t.Errorf("process %d: %+v", process, cfg)
 	}
-	if c.LeaseTerm != time.Second || c.ChildLeaseTerm != 250*time.Millisecond ||
-		c.ConnectionLeaseTerm != 30*time.Second || c.HeartbeatInterval != 400*time.Millisecond {
-		t.Errorf("process %d: lease terms and heartbeat are %+v", process, c)
+	if cfg.LeaseTerm != time.Second || cfg.ChildLeaseTerm != 250*time.Millisecond ||
+		cfg.ConnectionLeaseTerm != 30*time.Second || cfg.HeartbeatInterval != 400*time.Millisecond {
+		t.Errorf("process %d: lease terms and heartbeat are %+v", process, cfg)
 	}
-	if c.ConnectTimeout != 200*time.Millisecond || c.ListConnectTimeout != time.Second ||
-		c.ConnectionCloseDelay != 500*time.Millisecond {
-		t.Errorf("process %d: timeouts are %+v", process, c)
+	if cfg.ConnectTimeout != 200*time.Millisecond || cfg.ListConnectTimeout != time.Second ||
+		cfg.ConnectionCloseDelay != 500*time.Millisecond {
+		t.Errorf("process %d: timeouts are %+v", process, cfg)
 	}
 	hasUnits := func(l control.Limit) bool { return l.Units == 60 }
-	if !slices.ContainsFunc(c.Limits, hasUnits) {
-		t.Errorf("process %d: limits are %+v", process, c.Limits)
+	if !slices.ContainsFunc(cfg.Limits, hasUnits) {
+		t.Errorf("process %d: limits are %+v", process, cfg.Limits)
 	}
-	if process < 6 && len(c.Parents) != 3 || process >= 6 && (len(c.Peers) != 3 || c.ControlIndex != process-6) {
-		t.Errorf("process %d: parents %v, peers %v, number %d", process, c.Parents, c.Peers, c.ControlIndex)
+	if process < 6 && len(cfg.Parents) != 3 || process >= 6 && (len(cfg.Peers) != 3 || cfg.ControlIndex != process-6) {
+		t.Errorf("process %d: parents %v, peers %v, number %d", process, cfg.Parents, cfg.Peers, cfg.ControlIndex)
 	}
 }
--- a/node/descriptors.go
+++ b/node/descriptors.go
@@ -11,10 +11,10 @@
 )
 
 // connectionLimits divides the descriptors among health checks, connections without a request yet (handshakes) and
-// requests. A request takes two descriptors, one for its client and one for its server. Handshakes get an eighth of
-// what health checks leave, so that they cannot crowd out requests. Health checks get one descriptor per server of the
-// initial endpoint list, but at least an eighth and at most a quarter of all, so that an endpoint list that grows later
-// takes none from requests.
+// requests. A request takes two descriptors, one for its client and one for its server. Health checks get one
+// descriptor per server of the initial endpoint list, but at least an eighth and at most a quarter of all, so that an
+// endpoint list that grows later takes none from requests. Handshakes get an eighth of the rest, so that they cannot
+// crowd out requests.
 func (c *Config) connectionLimits() (requests, handshakes, healthChecks int) {
 	available := c.Limits.FileDescriptors - reservedDescriptors - c.adminConnectionLimit()
 	healthChecks = min(max(len(c.InitialEndpoints.Servers), available/8), available/4)
--- a/node/descriptors_test.go
+++ b/node/descriptors_test.go
@@ -6,39 +6,39 @@
 	"brassmux/internal/discovery"
 )
 
-// Callers at the second address take no place of a request, and requests none of theirs; probes take none of either,
-// whatever list was known at the start. One of the node's own descriptors is for a probe.
-func TestPlacesAreSetApart(t *testing.T) {
-	for sockets := reservedDescriptors + minConnectionDescriptors; sockets <= 4096; sockets++ {
+// Guards against limits that exceed the descriptors, so that admin calls, requests and health checks could take each
+// other's, for any size of the initial endpoint list. One of the reserved descriptors is for a health check.
+func TestDescriptorsAreDivided(t *testing.T) {
+	for descriptors := reservedDescriptors + minConnectionDescriptors; descriptors <= 4096; descriptors++ {
 		for _, servers := range []int{0, 4, 90, 1000} {
 			for _, addr := range []string{"", "127.0.0.1:1"} {
-				checkLimits(t, Config{Admin: addr, Limits: Limits{FileDescriptors: sockets},
+				checkConnectionLimits(t, Config{Admin: addr, Limits: Limits{FileDescriptors: descriptors},
 					InitialEndpoints: discovery.EndpointList{Servers: make([]discovery.Endpoint, servers)}})
 			}
 		}
 	}
-	c := Config{Limits: Limits{FileDescriptors: 256}}
-	requests, door, healthChecks := c.connectionLimits()
-	c.Admin = "127.0.0.1:1"
-	fewer, sameDoor, sameHealthChecks := c.connectionLimits()
-	if c.adminConnectionLimit() != 16 || 2*(requests-fewer)+door-sameDoor+healthChecks-sameHealthChecks < 16 ||
-		healthChecks != 29 {
-		t.Errorf("%d, %d, %d places become %d, %d, %d beside %d", requests, door, healthChecks, fewer, sameDoor,
-			sameHealthChecks, c.adminConnectionLimit())
+	cfg := Config{Limits: Limits{FileDescriptors: 256}}
+	requests, handshakes, healthChecks := cfg.connectionLimits()
+	cfg.Admin = "127.0.0.1:1"
+	requestsWithAdmin, handshakesWithAdmin, healthChecksWithAdmin := cfg.connectionLimits()
+	if cfg.adminConnectionLimit() != 16 || 2*(requests-requestsWithAdmin)+handshakes-handshakesWithAdmin+
+		healthChecks-healthChecksWithAdmin < 16 || healthChecks != 29 {
+		t.Errorf("limits %d, %d, %d become %d, %d, %d with %d admin connections", requests, handshakes, healthChecks,
+			requestsWithAdmin, handshakesWithAdmin, healthChecksWithAdmin, cfg.adminConnectionLimit())
 	}
 }
 
-// checkLimits checks that the limits of a configuration that is not refused fit its descriptors.
-func checkLimits(t *testing.T, c Config) {
+// checkConnectionLimits checks that the limits of a valid configuration fit its descriptors.
+func checkConnectionLimits(t *testing.T, cfg Config) {
 	t.Helper()
-	sockets := c.Limits.FileDescriptors
-	if sockets < reservedDescriptors+minConnectionDescriptors+c.adminConnectionLimit() {
-		return // it is refused
+	descriptors := cfg.Limits.FileDescriptors
+	if descriptors < reservedDescriptors+minConnectionDescriptors+cfg.adminConnectionLimit() {
+		return // Validate rejects the configuration
 	}
-	requests, door, healthChecks := c.connectionLimits()
-	if reservedDescriptors+c.adminConnectionLimit()+door+2*requests+healthChecks-1 > sockets ||
-		requests < minConnections || door < minConnections || healthChecks < 1 {
-		t.Fatalf("%d, %d, %d places of %d beside %d", requests, door, healthChecks, sockets,
-			c.adminConnectionLimit())
+	requests, handshakes, healthChecks := cfg.connectionLimits()
+	if reservedDescriptors+cfg.adminConnectionLimit()+handshakes+2*requests+healthChecks-1 > descriptors ||
+		requests < minConnections || handshakes < minConnections || healthChecks < 1 {
+		t.Fatalf("limits %d, %d, %d of %d descriptors, with %d admin connections", requests, handshakes, healthChecks,
+			descriptors, cfg.adminConnectionLimit())
 	}
 }
--- a/node/dialgate_test.go
+++ b/node/dialgate_test.go
@@ -7,51 +7,52 @@
 	"time"
 )
 
-// dialGate holds back connections to servers that have come up: what happens then happens between two lines of an
-// attempt, every time.
+// dialGate holds back established connections to servers, so that a test can act between the connect and the first byte
+// of an attempt.
 type dialGate struct {
-	connected chan string   // the address of one that has come up and is held
-	release   chan struct{} // lets one go on
+	connected chan string   // addresses of the connections that are held back
+	release   chan struct{} // releases one connection
 }
 
 func newDialGate() *dialGate { return &dialGate{make(chan string, 100), make(chan struct{}, 100)} }
 
-func (g *dialGate) connect(_ context.Context, addr string) (net.Conn, error) {
-	c, err := net.Dial("tcp", addr) // also one that is called off may have come up
+// dial connects to a server and returns the connection once it is released.
+func (gate *dialGate) dial(_ context.Context, addr string) (net.Conn, error) {
+	conn, err := net.Dial("tcp", addr) // ignores the context: a canceled connect may succeed too
 	if err != nil {
 		return nil, err
 	}
-	g.connected <- addr
-	<-g.release
-	return c, nil
+	gate.connected <- addr
+	<-gate.release
+	return conn, nil
 }
 
-// held waits for one that has come up.
-func (g *dialGate) awaitConnection(t *testing.T) (addr string) {
+// awaitConnection waits for a connection that is held back and returns its address.
+func (gate *dialGate) awaitConnection(t *testing.T) (addr string) {
 	t.Helper()
 	select {
-	case addr = <-g.connected:
+	case addr = <-gate.connected:
 	case <-time.After(testTimeout):
-		t.Fatal("no connection has come up")
+		t.Fatal("no connection was established")
 	}
 	return addr
 }
 
-// startGated starts a node whose connections to servers are held, with two servers, and sends it a first line: first
-// is the one that it goes to.
-func startGated(t *testing.T, change func(*Config), line string) (n *testNode, g *dialGate, client *testConn,
+// startWithDialGate starts a node with two servers and a dial gate, and sends it a first line. first is the server that
+// the node connects to.
+func startWithDialGate(t *testing.T, change func(*Config), line string) (n *testNode, gate *dialGate, client *testConn,
 	first, other *recordingServer) {
 	t.Helper()
-	g, first, other = newDialGate(), newRecordingServer(t, "s-1"), newRecordingServer(t, "s-2")
+	gate, first, other = newDialGate(), newRecordingServer(t, "s-1"), newRecordingServer(t, "s-2")
 	n = startNode(t, func(c *Config) {
 		withoutHealthChecks(c)
-		c.dialServer = g.connect
+		c.dialServer = gate.dial
 		change(c)
 	}, first.testServer, other.testServer)
 	client = n.dial()
 	client.send(line)
-	if g.awaitConnection(t) == other.addr {
+	if gate.awaitConnection(t) == other.addr {
 		first, other = other, first
 	}
-	return n, g, client, first, other
+	return n, gate, client, first, other
 }
--- a/node/fakediscovery_test.go
+++ b/node/fakediscovery_test.go
@@ -10,44 +10,45 @@
 	"time"
 )
 
-// fakeDiscovery is a stand-in for discovery; it sends each watch what is put into lines, and fails the first calls.
+// fakeDiscovery is a discovery service that sends the elements of lines to its watches, and can fail the first calls.
 type fakeDiscovery struct {
-	addr         string
-	lines        chan string
-	mu           sync.Mutex
-	failures     int
-	failureDelay time.Duration // of a call that fails, before it is told so
-	answers      int           // calls that are answered; 0 for all
-	omitsDate    bool          // answers have no Date
-	calls        int
-	lastSince    string // what the last call named as the version held
-	breakWatches func() // breaks all watches
+	addr          string
+	lines         chan string
+	mu            sync.Mutex
+	failingCalls  int
+	failureDelay  time.Duration // before a failing call is answered
+	answeredCalls int           // later calls get no answer; 0 to answer all
+	omitsDate     bool          // responses have no Date header
+	calls         int
+	sinceVersion  string // the parameter "since" of the last call
+	breakWatches  func() // closes all connections
 }
 
-func (d *fakeDiscovery) since() string {
+// lastSinceVersion returns the parameter "since" of the last call.
+func (d *fakeDiscovery) lastSinceVersion() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.lastSince
+	return d.sinceVersion
 }
 
-func newFakeDiscovery(t *testing.T, fails int) *fakeDiscovery {
-	d := &fakeDiscovery{lines: make(chan string, 100), failures: fails}
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+func newFakeDiscovery(t *testing.T, failures int) *fakeDiscovery {
+	d := &fakeDiscovery{lines: make(chan string, 100), failingCalls: failures}
+	httpServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		d.mu.Lock()
 		d.calls++
-		d.lastSince = r.URL.Query().Get("since")
-		fail := d.calls <= d.failures
-		mute, waits := d.answers > 0 && d.calls > d.answers, d.failureDelay
+		d.sinceVersion = r.URL.Query().Get("since")
+		fails := d.calls <= d.failingCalls
+		isUnanswered, delay := d.answeredCalls > 0 && d.calls > d.answeredCalls, d.failureDelay
 		if d.omitsDate {
 			w.Header()["Date"] = nil
 		}
 		d.mu.Unlock()
-		if mute {
+		if isUnanswered {
 			<-r.Context().Done()
 			return
-		} else if fail {
+		} else if fails {
 			select {
-			case <-time.After(waits):
+			case <-time.After(delay):
 			case <-r.Context().Done():
 			}
 			http.Error(w, "later", http.StatusServiceUnavailable)
@@ -67,15 +68,16 @@
 			}
 		}
 	}))
-	t.Cleanup(func() { // its goroutine, too, ends with the test
-		s.CloseClientConnections()
-		s.Close()
+	t.Cleanup(func() { // closing the connections ends the handlers too
+		httpServer.CloseClientConnections()
+		httpServer.Close()
 	})
-	d.breakWatches = s.CloseClientConnections
-	d.addr = strings.TrimPrefix(s.URL, "http://")
+	d.breakWatches = httpServer.CloseClientConnections
+	d.addr = strings.TrimPrefix(httpServer.URL, "http://")
 	return d
 }
 
+// sendList sends a list with entries in JSON to a watch.
 func (d *fakeDiscovery) sendList(version int, full bool, entries ...string) {
 	d.lines <- fmt.Sprintf(`{"version":%d,"full":%v,"servers":[%s]}`, version, full, strings.Join(entries, ","))
 }
--- a/node/golden_test.go
+++ b/node/golden_test.go
@@ -16,10 +16,11 @@
 	"brassmux/internal/settings"
 )
 
-// The files in testdata hold what other programs and other versions read and write: they stay as they are, byte for
-// byte.
+// The files in testdata are the formats that other programs and other versions of this one read and write. They must
+// not change.
 
-func golden(t *testing.T, name string) string {
+// readGolden returns the contents of a file in testdata.
+func readGolden(t *testing.T, name string) string {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata", name))
 	if err != nil {
@@ -28,100 +29,105 @@
 	return string(data)
 }
 
-// sameAsGolden compares a text with a file, line by line.
-func sameAsGolden(t *testing.T, name, got string) {
+// compareWithGolden compares a text with a file in testdata, line by line.
+func compareWithGolden(t *testing.T, name, got string) {
 	t.Helper()
-	want := strings.Split(golden(t, name), "\n")
+	want := strings.Split(readGolden(t, name), "\n")
 	for i, line := range strings.Split(got, "\n") {
 		if i >= len(want) || line != want[i] {
-			t.Fatalf("%s differs at line %d: got %q, all of it is\n%s", name, i+1, line, got)
+			t.Fatalf("%s differs at line %d: got %q, complete text:\n%s", name, i+1, line, got)
 		}
 	}
-	if n := strings.Count(got, "\n") + 1; n != len(want) {
-		t.Fatalf("%s has %d lines, not %d", name, len(want), n)
+	if lines := strings.Count(got, "\n") + 1; lines != len(want) {
+		t.Fatalf("%s has %d lines, got %d", name, len(want), lines)
 	}
 }
 
-// dump writes each value with the path of its keys, in the order of the fields.
-func dump(path string, v reflect.Value, to *strings.Builder) {
-	switch v.Kind() {
+// dumpValue writes each value below a value with the path of its JSON keys, in the order of the fields.
+func dumpValue(path string, value reflect.Value, out *strings.Builder) {
+	switch value.Kind() {
 	case reflect.Pointer:
-		if !v.IsNil() {
-			dump(path, v.Elem(), to)
+		if !value.IsNil() {
+			dumpValue(path, value.Elem(), out)
 			return
 		}
 	case reflect.Struct:
-		for i := range v.NumField() {
-			key, _, _ := strings.Cut(v.Type().Field(i).Tag.Get("json"), ",")
+		for i := range value.NumField() {
+			key, _, _ := strings.Cut(value.Type().Field(i).Tag.Get("json"), ",")
 			if key != "" && key != "-" {
-				dump(path+"."+key, v.Field(i), to)
+				dumpValue(path+"."+key, value.Field(i), out)
 			}
 		}
 		return
 	case reflect.Slice:
-		for i := range v.Len() {
-			dump(fmt.Sprintf("%s[%d]", path, i), v.Index(i), to)
+		for i := range value.Len() {
+			dumpValue(fmt.Sprintf("%s[%d]", path, i), value.Index(i), out)
 		}
 		return
 	}
-	fmt.Fprintf(to, "%s = %v\n", strings.TrimPrefix(path, "."), v)
+	fmt.Fprintf(out, "%s = %v\n", strings.TrimPrefix(path, "."), value)
 }
 
-func dumped(c *Config) string {
+// dumpConfig returns all values of a configuration with their keys.
+func dumpConfig(c *Config) string {
 	var text strings.Builder
-	dump("", reflect.ValueOf(c).Elem(), &text)
+	dumpValue("", reflect.ValueOf(c).Elem(), &text)
 	return text.String()
 }
 
-func TestAConfigurationWithEveryKeyIsReadAndWritten(t *testing.T) {
-	text := golden(t, "config.json")
-	var c Config
+// Guards against renamed or lost configuration keys.
+func TestConfigRoundTrip(t *testing.T) {
+	text := readGolden(t, "config.json")
+	var cfg Config
 	decoder := json.NewDecoder(strings.NewReader(text))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(&c); err != nil {
+	if err := decoder.Decode(&cfg); err != nil {
 		t.Fatal(err)
 	}
-	sameAsGolden(t, "config.txt", dumped(&c))
-	again, err := json.MarshalIndent(c, "", "\t")
-	if err != nil || string(again)+"\n" != text {
-		t.Errorf("written as %s, %v", again, err)
+	compareWithGolden(t, "config.txt", dumpConfig(&cfg))
+	encoded, err := json.MarshalIndent(cfg, "", "\t")
+	if err != nil || string(encoded)+"\n" != text {
+		t.Errorf("encoded as %s, %v", encoded, err)
 	}
-	set := c.Settings.BalanceConfig()
-	if set.NodeCount != 1001 || set.NodeIndex != 1022 || set.SlowStartWindow != settings.Microseconds(1035) {
-		t.Errorf("decided by %+v", set)
+	balanceConfig := cfg.Settings.BalanceConfig()
+	if balanceConfig.NodeCount != 1001 || balanceConfig.NodeIndex != 1022 ||
+		balanceConfig.SlowStartWindow != settings.Microseconds(1035) {
+		t.Errorf("the balancer is configured with %+v", balanceConfig)
 	}
 }
 
-func TestTheDefaultsOfAConfigurationAndTheMessagesOfItsFaults(t *testing.T) {
+// Guards against changed defaults and error messages.
+func TestConfigDefaultsAndErrorMessages(t *testing.T) {
 	var text strings.Builder
-	for in := range strings.Lines(golden(t, "faulty.txt")) {
-		var c Config
-		if err := json.Unmarshal([]byte(in), &c); err != nil {
+	for line := range strings.Lines(readGolden(t, "faulty.txt")) {
+		var cfg Config
+		if err := json.Unmarshal([]byte(line), &cfg); err != nil {
 			t.Fatal(err)
 		}
-		for _, fault := range c.Validate() {
+		for _, fault := range cfg.Validate() {
 			fmt.Fprintln(&text, fault)
 		}
-		text.WriteString(dumped(&c) + "\n")
+		text.WriteString(dumpConfig(&cfg) + "\n")
 	}
-	sameAsGolden(t, "faults.txt", text.String())
+	compareWithGolden(t, "faults.txt", text.String())
 }
 
-func TestNamesOfCounters(t *testing.T) {
-	rates := func(c *Config) {
+// Guards against renamed or lost counters.
+func TestCounterNames(t *testing.T) {
+	setQuotas := func(c *Config) {
 		c.Budgets.RetriesPerSecond, c.Budgets.ListCallsPerSecond, c.Budgets.HealthChecksPerSecond,
 			c.Budgets.ConnectsPerSecond = 10, 10, 10, 10
 		c.Budgets.MovesPerSecond, c.Budgets.OpensPerSecond, c.Budgets.OpenPerCustomer = 10, 10, 10
 	}
 	var text strings.Builder
-	for _, n := range []struct {
-		role   string
+	for _, role := range []struct {
+		name   string
 		change func(*Config)
 	}{
 		{"plain", func(*Config) {}},
 		{"all", func(c *Config) {
 			leaseQuotas(c)
-			rates(c)
+			setQuotas(c)
 			c.Admin, c.ShadowSettings = "127.0.0.1:0", &c.Settings
 		}},
 		{"control", func(c *Config) {
@@ -129,61 +135,61 @@
 			c.Peers.ChildListen = "127.0.0.1:0"
 		}},
 	} {
-		list := newFakeDiscovery(t, 0)
-		cfg := testConfig(t, list)
-		n.change(&cfg)
-		made := newTestNode(t, cfg, list)
+		discoveryServer := newFakeDiscovery(t, 0)
+		cfg := testConfig(t, discoveryServer)
+		role.change(&cfg)
+		node := newTestNode(t, cfg, discoveryServer)
 		var names []string
-		for _, f := range made.Counters() {
-			names = append(names, f.Key)
+		for _, field := range node.Counters() {
+			names = append(names, field.Key)
 		}
 		slices.Sort(names)
-		fmt.Fprintf(&text, "%s\n%s\n\n", n.role, strings.Join(names, "\n"))
-		made.run()
+		fmt.Fprintf(&text, "%s\n%s\n\n", role.name, strings.Join(names, "\n"))
+		node.run()
 	}
-	sameAsGolden(t, "counters.txt", text.String())
+	compareWithGolden(t, "counters.txt", text.String())
 }
 
-// rawLink is a socket of a stand-in for the other process, which reads and writes the bytes of messages.
+// rawLink is a hand-over socket of another process, over which a test reads and writes the bytes of messages.
 type rawLink struct {
 	t    *testing.T
 	conn *net.UnixConn
 }
 
-func (p rawLink) write(message string) {
-	p.t.Helper()
-	if _, err := p.conn.Write([]byte(message)); err != nil {
-		p.t.Fatal(err)
+func (l rawLink) write(message string) {
+	l.t.Helper()
+	if _, err := l.conn.Write([]byte(message)); err != nil {
+		l.t.Fatal(err)
 	}
 }
 
-func (p rawLink) read() string {
-	p.t.Helper()
+func (l rawLink) read() string {
+	l.t.Helper()
 	data := make([]byte, 1<<16)
-	p.conn.SetReadDeadline(time.Now().Add(testTimeout))
-	n, err := p.conn.Read(data)
+	l.conn.SetReadDeadline(time.Now().Add(testTimeout))
+	n, err := l.conn.Read(data)
 	if err != nil {
-		p.t.Fatal(err)
+		l.t.Fatal(err)
 	}
 	return string(data[:n])
 }
 
 var (
-	ageForm  = regexp.MustCompile(`"age":\d+`)
-	rateForm = regexp.MustCompile(`"rate":[\d.]+,"rated":\d+`) // falls from the moment at which it is taken over
+	agePattern  = regexp.MustCompile(`"age":\d+`)
+	ratePattern = regexp.MustCompile(`"rate":[\d.]+,"rated":\d+`) // decays with time after the hand-over
 )
 
-// acceptRawLink accepts the one connection of a node that looks for the process before it.
+// acceptRawLink calls start to start a node, and accepts its connection as its predecessor.
 func acceptRawLink(t *testing.T, path string, start func()) rawLink {
 	t.Helper()
-	l, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: path, Net: "unixpacket"})
+	listener, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: path, Net: "unixpacket"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.SetUnlinkOnClose(false)
-	defer l.Close() // who comes after that waits for the node
+	listener.SetUnlinkOnClose(false)
+	defer listener.Close() // later connections go to the node
 	start()
-	conn, err := l.AcceptUnix()
+	conn, err := listener.AcceptUnix()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -191,11 +197,11 @@
 	return rawLink{t, conn}
 }
 
-// dialRawLink connects as the next process.
+// dialRawLink connects to a node as its successor.
 func dialRawLink(n *testNode, path string) rawLink {
 	n.t.Helper()
 	var conn *net.UnixConn
-	n.waitFor("its place", func() (ok bool) {
+	n.waitFor("the hand-over socket", func() (ok bool) {
 		var err error
 		conn, err = net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: path, Net: "unixpacket"})
 		return err == nil
@@ -204,54 +210,55 @@
 	return rawLink{n.t, conn}
 }
 
-// The lines of handover.txt, by what they say.
+// Indices of lines of handover.txt, and the number of state lines.
 const (
 	helloLine = iota
 	firstStateLine
-	stateLines    = 4
-	servingLine   = 5
-	relievedLine  = 6
-	afterwardLine = 8
+	stateLines   = 4
+	servingLine  = 5
+	releasedLine = 6
+	rejectedLine = 8
 )
 
-// A node takes over from one process and hands over to another. The clock stands at a fixed date, and what it was
-// told goes on as it came.
-func TestMessagesOfAHandOver(t *testing.T) {
-	h := newTestServer(t, "s-1")
+// Guards against changed hand-over messages. A node takes over from a predecessor and hands over to a successor, and
+// must pass on the state that it received. The clock starts at a fixed date.
+func TestHandoverMessages(t *testing.T) {
+	srv := newTestServer(t, "s-1")
 	change, path := withInheritedSocket(t)
-	list := newFakeDiscovery(t, 0)
-	text := strings.NewReplacer("SERVER", h.addr, "DISCOVERY", list.addr).Replace(golden(t, "handover.txt"))
+	discoveryServer := newFakeDiscovery(t, 0)
+	text := strings.NewReplacer("SERVER", srv.addr, "DISCOVERY",
+		discoveryServer.addr).Replace(readGolden(t, "handover.txt"))
 	lines := strings.Split(strings.TrimSuffix(text, "\n"), "\n")
 	state := lines[firstStateLine:][:stateLines]
-	cfg := testConfig(t, list)
+	cfg := testConfig(t, discoveryServer)
 	change(&cfg)
 	withoutHealthChecks(&cfg)
 	cfg.TestOptions.WallClock = func() time.Time { return time.Unix(1_790_000_000, 0) }
-	n := newTestNode(t, cfg, list)
-	before := acceptRawLink(t, path, n.run)
-	got := append([]string{before.read()}, state...)
+	n := newTestNode(t, cfg, discoveryServer)
+	predecessor := acceptRawLink(t, path, n.run)
+	got := append([]string{predecessor.read()}, state...)
 	for _, line := range state {
-		before.write(line)
+		predecessor.write(line)
 	}
-	got = append(got, before.read())
-	before.write(lines[relievedLine])
+	got = append(got, predecessor.read())
+	predecessor.write(lines[releasedLine])
 	n.waitFor("the node to serve", func() bool { return n.lifecycle.acceptsClients() })
-	next := dialRawLink(n, path)
-	next.write(lines[helloLine])
+	successor := dialRawLink(n, path)
+	successor.write(lines[helloLine])
 	for _, line := range state {
 		const rate = `"rate":3.5,"rated":1789999999000000000`
-		if message := rateForm.ReplaceAllString(next.read(), rate); message != line {
-			t.Errorf("handed on as\n%s\nnot\n%s", message, line)
+		if message := ratePattern.ReplaceAllString(successor.read(), rate); message != line {
+			t.Errorf("handed over as\n%s\nwant\n%s", message, line)
 		}
 	}
-	next.write(lines[servingLine])
-	got = append(got, next.read())
-	client, _ := n.establish(h)
+	successor.write(lines[servingLine])
+	got = append(got, successor.read())
+	client, _ := n.establish(srv)
 	n.stop()
-	got = append(got, ageForm.ReplaceAllString(next.read(), `"age":0`))
-	next.write(lines[afterwardLine])
+	got = append(got, agePattern.ReplaceAllString(successor.read(), `"age":0`))
+	successor.write(lines[rejectedLine])
 	client.expect("MOVE\r\n")
-	got = append(got, lines[afterwardLine])
-	plain := strings.NewReplacer(h.addr, "SERVER", list.addr, "DISCOVERY")
-	sameAsGolden(t, "handover.txt", plain.Replace(strings.Join(got, "\n"))+"\n")
+	got = append(got, lines[rejectedLine])
+	placeholders := strings.NewReplacer(srv.addr, "SERVER", discoveryServer.addr, "DISCOVERY")
+	compareWithGolden(t, "handover.txt", placeholders.Replace(strings.Join(got, "\n"))+"\n")
 }
--- a/node/handover_state.go
+++ b/node/handover_state.go
@@ -84,7 +84,7 @@
 	l.handle(balance.HandedOver{ToSuccessor: released || l.isStopping})
 }
 
-// openExchanges returns all requests in progress, with and without an established connection.
+// allRequests returns all requests in progress, with and without an established connection.
 func (l *loop) allRequests() (requests []*exchange.Exchange) {
 	l.call(func() {
 		for _, request := range l.requests {
--- a/node/handover_test.go
+++ b/node/handover_test.go
@@ -17,46 +17,48 @@
 	"brassmux/internal/upgrade"
 )
 
-// withInheritedSocket has a node listen on a socket that the test holds, and meet its other process in a folder.
+// withInheritedSocket returns a change of a configuration that makes a node inherit a listening socket of the test and
+// hand over in a temporary directory, and the path of the hand-over socket.
 func withInheritedSocket(t *testing.T) (change func(*Config), path string) {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
-	f, err := l.(*net.TCPListener).File()
+	t.Cleanup(func() { listener.Close() })
+	file, err := listener.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
-	fd, err := syscall.Dup(int(f.Fd())) // the node closes its own
+	defer file.Close()
+	fd, err := syscall.Dup(int(file.Fd())) // the node closes the inherited descriptor
 	if err != nil {
 		t.Fatal(err)
 	}
-	folder, err := os.MkdirTemp("", "b") // a socket's name must be short
+	dir, err := os.MkdirTemp("", "b") // the path of a socket must be short
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { os.RemoveAll(folder) })
+	t.Cleanup(func() { os.RemoveAll(dir) })
 	return func(c *Config) {
-		c.Listen, c.ListenFD, c.HandoverDir, c.Admin = l.Addr().String(), fd, folder, "127.0.0.1:0"
-	}, upgrade.SocketPath(folder, l.Addr().String())
+		c.Listen, c.ListenFD, c.HandoverDir, c.Admin = listener.Addr().String(), fd, dir, "127.0.0.1:0"
+	}, upgrade.SocketPath(dir, listener.Addr().String())
 }
 
-// dialAsSuccessor is a stand-in for the next process.
+// dialAsSuccessor connects to a node as its successor.
 func dialAsSuccessor(t *testing.T, path string) *upgrade.Link {
 	t.Helper()
-	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		if link, err := upgrade.Dial(path); err == nil {
 			t.Cleanup(link.Close)
 			return link
-		} else if time.Now().After(end) {
+		} else if time.Now().After(deadline) {
 			t.Fatal(err)
 		}
 	}
 }
 
+// sendKind sends a message without contents.
 func sendKind(t *testing.T, link *upgrade.Link, kind upgrade.Kind) {
 	t.Helper()
 	if err := link.Send(upgrade.Message{Kind: kind}, testTimeout); err != nil {
@@ -64,64 +66,66 @@
 	}
 }
 
+// receiveMessage receives a message and its sockets, which are closed when the test ends.
 func receiveMessage(t *testing.T, link *upgrade.Link) (*upgrade.Message, []*net.TCPConn) {
 	t.Helper()
-	m, conns, err := link.Receive(time.Now().Add(testTimeout))
+	message, conns, err := link.Receive(time.Now().Add(testTimeout))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range conns {
-		t.Cleanup(func() { c.Close() })
+	for _, conn := range conns {
+		t.Cleanup(func() { conn.Close() })
 	}
-	return m, conns
+	return message, conns
 }
 
-// serveAsSuccessor has the stand-in say that it does, and gives what it was told before.
+// serveAsSuccessor receives the state of the node, announces that the successor serves, and returns the state messages.
 func serveAsSuccessor(t *testing.T, link *upgrade.Link) (messages []*upgrade.Message) {
 	t.Helper()
 	sendKind(t, link, upgrade.KindHello)
 	for {
-		m, _ := receiveMessage(t, link)
-		if messages = append(messages, m); m.Kind == upgrade.KindStateEnd {
+		message, _ := receiveMessage(t, link)
+		if messages = append(messages, message); message.Kind == upgrade.KindStateEnd {
 			break
 		}
 	}
 	sendKind(t, link, upgrade.KindServing)
-	if m, _ := receiveMessage(t, link); m.Kind != upgrade.KindReleased {
-		t.Fatalf("got %v", m.Kind)
+	if message, _ := receiveMessage(t, link); message.Kind != upgrade.KindReleased {
+		t.Fatalf("got a message of kind %v", message.Kind)
 	}
 	return messages
 }
 
-// What the next process does not take goes on, and is moved when the time to stop runs out.
-func TestAConnectionThatIsNotTakenIsServedAndMoved(t *testing.T) {
-	h := newTestServer(t, "s-1")
+// Guards against losing a connection that the successor rejects. The node must keep serving it, and migrate it before
+// the time limit of the shutdown.
+func TestRejectedTransferIsMigrated(t *testing.T) {
+	srv := newTestServer(t, "s-1")
 	change, path := withInheritedSocket(t)
-	n := startNode(t, func(c *Config) { change(c); c.Timeouts.StopMS, c.Timeouts.CloseMS = 900, 300 }, h)
-	client, server := n.establish(h)
+	n := startNode(t, func(c *Config) { change(c); c.Timeouts.StopMS, c.Timeouts.CloseMS = 900, 300 }, srv)
+	client, server := n.establish(srv)
 	link := dialAsSuccessor(t, path)
 	serveAsSuccessor(t, link)
 	n.stop()
-	m, conns := receiveMessage(t, link)
-	if m.Kind != upgrade.KindConnection || len(conns) != 2 {
-		t.Fatalf("got %v with %d sockets", m.Kind, len(conns))
+	message, conns := receiveMessage(t, link)
+	if message.Kind != upgrade.KindConnection || len(conns) != 2 {
+		t.Fatalf("got a message of kind %v with %d sockets", message.Kind, len(conns))
 	}
-	for _, c := range conns {
-		c.Close()
+	for _, conn := range conns {
+		conn.Close()
 	}
 	sendKind(t, link, upgrade.KindRejected)
 	client.send("still\r\n")
 	server.expect("still\r\n")
 	server.send("here\r\n")
 	client.expect("here\r\n")
-	go func() { // and each time it is offered again
+	go func() { // reject the retries too
 		for {
 			_, conns, err := link.Receive(time.Now().Add(testTimeout))
 			if err != nil {
 				return
 			}
-			for _, c := range conns {
-				c.Close()
+			for _, conn := range conns {
+				conn.Close()
 			}
 			link.Send(upgrade.Message{Kind: upgrade.KindRejected}, testTimeout)
 		}
@@ -129,307 +133,313 @@
 	client.expect("MOVE\r\n")
 	client.Close()
 	n.wait()
-	if given, moved := n.counter("handed_over"), n.counter("moved"); given != 0 || moved != 1 {
-		t.Errorf("%d handed over, %d moved", given, moved)
+	if handedOver, migrated := n.counter("handed_over"), n.counter("moved"); handedOver != 0 || migrated != 1 {
+		t.Errorf("%d handed over and %d migrated, want 0 and 1", handedOver, migrated)
 	}
 }
 
-// The next process dies while it is handed a connection: the old one still has it.
-func TestAConnectionOutlivesTheProcessThatWasToTakeIt(t *testing.T) {
-	h := newTestServer(t, "s-1")
+// Guards against losing a connection whose successor crashes during the transfer. The node must keep and migrate it.
+func TestTransferSurvivesSuccessorCrash(t *testing.T) {
+	srv := newTestServer(t, "s-1")
 	change, path := withInheritedSocket(t)
-	n := startNode(t, change, h)
-	client, server := n.establish(h)
+	n := startNode(t, change, srv)
+	client, server := n.establish(srv)
 	link := dialAsSuccessor(t, path)
 	serveAsSuccessor(t, link)
 	n.stop()
 	_, conns := receiveMessage(t, link)
-	for _, c := range conns {
-		c.Close()
+	for _, conn := range conns {
+		conn.Close()
 	}
 	link.Close()
-	client.expect("MOVE\r\n") // and nothing before it
+	client.expect("MOVE\r\n") // without other data before it
 	client.expectEnd(io.EOF)
 	server.expectEnd(io.EOF)
 	client.Close()
 	n.wait()
 }
 
-// startWithHangingSuccessor stops a node beside a next process that serves and then answers nothing. Some connections
-// stand.
-func startWithHangingSuccessor(t *testing.T, stop int64, stands int, before func(n *testNode,
-	h *testServer)) (n *testNode, link *upgrade.Link, clients []*testConn) {
-	h := newTestServer(t, "s-1")
+// startWithHangingSuccessor stops a node with established connections and a successor that serves but does not respond
+// to transfers. It calls beforeSuccessor before the successor connects.
+func startWithHangingSuccessor(t *testing.T, stopMS int64, connections int, beforeSuccessor func(n *testNode,
+	srv *testServer)) (n *testNode, link *upgrade.Link, clients []*testConn) {
+	srv := newTestServer(t, "s-1")
 	change, path := withInheritedSocket(t)
 	n = startNode(t, func(c *Config) {
 		change(c)
 		withoutHealthChecks(c)
-		c.Timeouts.StopMS, c.Timeouts.CloseMS = stop, 300
-	}, h)
-	for range stands {
-		client, _ := n.establish(h)
+		c.Timeouts.StopMS, c.Timeouts.CloseMS = stopMS, 300
+	}, srv)
+	for range connections {
+		client, _ := n.establish(srv)
 		clients = append(clients, client)
 	}
-	before(n, h)
+	beforeSuccessor(n, srv)
 	link = dialAsSuccessor(t, path)
 	serveAsSuccessor(t, link)
 	n.stop()
 	return n, link, clients
 }
 
-// The next process hangs with a connection in its hands: who waits for an answer here has it in time all the same,
-// and the process ends in its time.
-func TestANextProcessThatHangsHoldsUpNoAnswer(t *testing.T) {
-	var waits *testConn
-	n, link, _ := startWithHangingSuccessor(t, 700, 1, func(n *testNode, h *testServer) {
-		waits = n.dial()
-		waits.send("OPEN id w c=pay,d=60000\r\n")
-		h.accept(t) // and is not answered
+// Guards against a successor that does not respond to a transfer and thereby delays the answers to pending requests or
+// the end of the process.
+func TestHangingSuccessorDoesNotDelayAnswers(t *testing.T) {
+	var waiting *testConn
+	n, link, _ := startWithHangingSuccessor(t, 700, 1, func(n *testNode, srv *testServer) {
+		waiting = n.dial()
+		waiting.send("OPEN id w c=pay,d=60000\r\n")
+		srv.accept(t) // without an answer
 	})
-	begun := time.Now()
+	startedAt := time.Now()
 	receiveMessage(t, link)
-	if line := waits.readLine(); !strings.HasPrefix(line, "ERR") {
+	if line := waiting.readLine(); !strings.HasPrefix(line, "ERR") {
 		t.Errorf("got %q", line)
 	}
 	n.wait()
-	if took := time.Since(begun); took >= 2*messageTimeout { // what the next process has to answer
-		t.Errorf("ended after %v", took)
+	if elapsed := time.Since(startedAt); elapsed >= 2*messageTimeout { // the time limit for the answer of the successor
+		t.Errorf("the process ended after %v", elapsed)
 	}
 }
 
-// It is offered no more than it had been when it began to hang; the others are moved.
-func TestANextProcessThatHangsIsOfferedNoMore(t *testing.T) {
-	const more = 3
-	n, link, clients := startWithHangingSuccessor(t, 2800, maxConcurrentTransfers+more, func(*testNode, *testServer) {})
-	moved := make(chan bool, len(clients))
+// Guards against sending further connections to a successor that does not respond. The others must be migrated.
+func TestHangingSuccessorGetsNoMoreConnections(t *testing.T) {
+	const excess = 3
+	n, link, clients := startWithHangingSuccessor(t, 2800, maxConcurrentTransfers+excess,
+		func(*testNode, *testServer) {})
+	isMigrated := make(chan bool, len(clients))
 	for _, client := range clients {
 		go func() {
-			line, _ := client.in.ReadString('\n')
-			moved <- line == "MOVE\r\n"
+			line, _ := client.reader.ReadString('\n')
+			isMigrated <- line == "MOVE\r\n"
 			client.Close()
 		}()
 	}
 	for range maxConcurrentTransfers {
 		receiveMessage(t, link)
 	}
-	for range more {
-		if !<-moved {
-			t.Error("a connection that was not offered has ended without MOVE")
+	for range excess {
+		if !<-isMigrated {
+			t.Error("a connection that was not transferred ended without MOVE")
 		}
 	}
 	n.wait()
-	if m, _, err := link.Receive(time.Now().Add(testTimeout)); err == nil {
-		t.Errorf("it was offered %v", m.Kind)
+	if message, _, err := link.Receive(time.Now().Add(testTimeout)); err == nil {
+		t.Errorf("the successor got another message of kind %v", message.Kind)
 	}
 }
 
-// A hand-over that is damaged is counted, told in one line, and changes nothing.
-func TestADamagedHandOverChangesNothing(t *testing.T) {
-	h := newTestServer(t, "s-1")
+// Guards against a failed hand-over that affects the node. It must be counted and logged once.
+func TestInvalidHandoverMessageChangesNothing(t *testing.T) {
+	srv := newTestServer(t, "s-1")
 	change, path := withInheritedSocket(t)
-	n := startNode(t, change, h)
-	client, server := n.establish(h)
-	dialAsSuccessor(t, path).Close() // it listens now, and this is one fault
-	n.waitFor("that to be over", func() bool { return n.counter("handover_faults") == 1 })
-	c, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: path, Net: "unixpacket"})
+	n := startNode(t, change, srv)
+	client, server := n.establish(srv)
+	dialAsSuccessor(t, path).Close() // waits for the listener, and counts as a failure
+	n.waitFor("the first failure", func() bool { return n.counter("handover_faults") == 1 })
+	conn, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: path, Net: "unixpacket"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	c.Write([]byte(`{"version":1,"kind":"connection"`))
-	n.waitFor("the fault to be counted", func() bool { return n.counter("handover_faults") == 2 })
+	defer conn.Close()
+	conn.Write([]byte(`{"version":1,"kind":"connection"`))
+	n.waitFor("the second failure", func() bool { return n.counter("handover_faults") == 2 })
 	if got := n.logs.FilterMessage("hand-over failed").Len(); got != 2 {
-		t.Errorf("%d lines", got)
+		t.Errorf("%d log lines, want 2", got)
 	}
 	client.send("still\r\n")
 	server.expect("still\r\n")
-	link := dialAsSuccessor(t, path) // the next one finds the node as it was
+	link := dialAsSuccessor(t, path) // a later hand-over must succeed
 	serveAsSuccessor(t, link)
 }
 
-// A process that says hello and goes leaves the node its cold budgets and its place.
-func TestANextProcessThatNeverServesLeavesAllAsItWas(t *testing.T) {
-	h := newTestServer(t, "s-1")
+// Guards against a node that stays released after a successor has fetched the state and ended without serving: it must
+// still accept clients and successors.
+func TestSuccessorThatNeverServesChangesNothing(t *testing.T) {
+	srv := newTestServer(t, "s-1")
 	change, path := withInheritedSocket(t)
-	n := startNode(t, change, h)
+	n := startNode(t, change, srv)
 	for range 3 {
 		link := dialAsSuccessor(t, path)
 		sendKind(t, link, upgrade.KindHello)
 		for {
-			if m, _ := receiveMessage(t, link); m.Kind == upgrade.KindStateEnd {
+			if message, _ := receiveMessage(t, link); message.Kind == upgrade.KindStateEnd {
 				break
 			}
 		}
-		faults := n.counter("handover_faults")
+		failures := n.counter("handover_faults")
 		link.Close()
-		n.waitFor("its end to be seen", func() bool { return n.counter("handover_faults") == faults+1 })
+		n.waitFor("the failure to be counted", func() bool { return n.counter("handover_faults") == failures+1 })
 	}
 	if got := n.ping(); got != "PONG\r\n" {
 		t.Errorf("got %q", got)
 	}
-	n.establish(h)
+	n.establish(srv)
 	link := dialAsSuccessor(t, path)
 	messages := serveAsSuccessor(t, link)
-	if last := messages[len(messages)-1]; last.OutOfService {
-		t.Error("it is reported as out of service")
+	if stateEnd := messages[len(messages)-1]; stateEnd.OutOfService {
+		t.Error("the node reports itself as out of service")
 	}
 }
 
-// A process that comes while the one before it is still being let go waits for its turn; it would start knowing
-// nothing.
-func TestANextProcessThatComesAtOnceIsHeard(t *testing.T) {
-	h := newTestServer(t, "s-1")
+// Guards against disconnecting a successor while the previous one is still being handled, which would make it start
+// without the state.
+func TestNextSuccessorWaitsForPrevious(t *testing.T) {
+	srv := newTestServer(t, "s-1")
 	change, path := withInheritedSocket(t)
-	n := startNode(t, change, h)
-	n.handover.successorSlot <- struct{}{} // the one before
+	n := startNode(t, change, srv)
+	n.handover.successorSlot <- struct{}{} // the previous successor
 	link := dialAsSuccessor(t, path)
 	sendKind(t, link, upgrade.KindHello)
-	var late net.Error
-	if _, _, err := link.Receive(time.Now().Add(50 * time.Millisecond)); !errors.As(err, &late) || !late.Timeout() {
-		t.Fatalf("it was sent away: %v", err)
+	var timeoutError net.Error
+	if _, _, err := link.Receive(time.Now().Add(50 * time.Millisecond)); !errors.As(err, &timeoutError) ||
+		!timeoutError.Timeout() {
+		t.Fatalf("the successor was disconnected: %v", err)
 	}
 	<-n.handover.successorSlot
 	for {
-		if m, _ := receiveMessage(t, link); m.Kind == upgrade.KindStateEnd {
+		if message, _ := receiveMessage(t, link); message.Kind == upgrade.KindStateEnd {
 			break
 		}
 	}
 }
 
-// before is a stand-in for the process that serves already.
-func startPredecessor(t *testing.T, path string, say ...upgrade.Message) {
+// startPredecessor accepts one successor, sends it messages, and releases the node to it.
+func startPredecessor(t *testing.T, path string, messages ...upgrade.Message) {
 	t.Helper()
-	l, err := upgrade.Listen(path)
+	listener, err := upgrade.Listen(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(l.Close)
+	t.Cleanup(listener.Close)
 	go func() {
-		link, err := l.Accept()
+		link, err := listener.Accept()
 		if err != nil {
 			return
 		}
 		defer link.Close()
 		link.Receive(time.Now().Add(testTimeout))
-		for _, m := range say {
-			link.Send(m, testTimeout)
+		for _, message := range messages {
+			link.Send(message, testTimeout)
 		}
-		if m, _, err := link.Receive(time.Now().Add(testTimeout)); err == nil && m.Kind == upgrade.KindServing {
+		if message, _, err := link.Receive(time.Now().Add(testTimeout)); err == nil &&
+			message.Kind == upgrade.KindServing {
 			link.Send(upgrade.Message{Kind: upgrade.KindReleased}, testTimeout)
 			link.Receive(time.Now().Add(testTimeout))
 		}
 	}()
 }
 
-// The new process goes by the list of the old one, which is newer than its configuration's, and stays out of service.
-func TestTheNewProcessGoesOnWhereTheOldOneStands(t *testing.T) {
-	h := newTestServer(t, "s-new")
+// Guards against a new process that does not take over the state of its predecessor: its endpoint list, which is newer
+// than that of the configuration, and being out of service.
+func TestStartTakesOverPredecessorState(t *testing.T) {
+	srv := newTestServer(t, "s-new")
 	change, path := withInheritedSocket(t)
-	list := newFakeDiscovery(t, 0)
-	cfg := testConfig(t, list)
+	discoveryServer := newFakeDiscovery(t, 0)
+	cfg := testConfig(t, discoveryServer)
 	change(&cfg)
 	startPredecessor(t, path,
 		upgrade.Message{Kind: upgrade.KindState,
 			Endpoints: &discovery.EndpointList{Version: 41, Full: true,
-				Servers: []discovery.Endpoint{h.endpoint("up")}}},
+				Servers: []discovery.Endpoint{srv.endpoint("up")}}},
 		upgrade.Message{Kind: upgrade.KindState, State: &balance.HandoverState{ConnectionRate: 3}},
-		upgrade.Message{Kind: upgrade.KindStateEnd, OutOfService: true, DiscoveryAddr: list.addr})
-	n := runNode(t, cfg, list)
+		upgrade.Message{Kind: upgrade.KindStateEnd, OutOfService: true, DiscoveryAddr: discoveryServer.addr})
+	n := runNode(t, cfg, discoveryServer)
 	n.waitFor("the node to be ready", func() bool { return n.lifecycle.isReady() })
 	if got := n.ping(); got != "ERR out of service\r\n" {
 		t.Errorf("got %q", got)
 	}
-	n.waitFor("the list to be asked for", func() bool { return list.since() == "41" })
+	n.waitFor("the watch of the list", func() bool { return discoveryServer.lastSinceVersion() == "41" })
 	client := n.open("k", "")
-	s, _ := h.accept(t)
-	s.send("UP r\r\n")
+	serverConn, _ := srv.accept(t)
+	serverConn.send("UP r\r\n")
 	client.expect("UP r\r\n")
-	client.expect("MOVE\r\n") // as the node is out of service
+	client.expect("MOVE\r\n") // because the node is out of service
 }
 
-// An old process that says nonsense, or nothing more, holds the new one up for no longer than its time.
-func TestTheNewProcessStartsWithoutTheOldOnesWord(t *testing.T) {
-	for name, say := range map[string][]upgrade.Message{
-		"nonsense": {{Kind: upgrade.KindAccepted}},
-		"half":     {{Kind: upgrade.KindState, State: &balance.HandoverState{}}},
+// Guards against a new process that does not start in time because its predecessor sends an unexpected message or an
+// incomplete state.
+func TestStartWithFaultyPredecessor(t *testing.T) {
+	for name, messages := range map[string][]upgrade.Message{
+		"unexpected message": {{Kind: upgrade.KindAccepted}},
+		"incomplete state":   {{Kind: upgrade.KindState, State: &balance.HandoverState{}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := newTestServer(t, "s-1")
+			srv := newTestServer(t, "s-1")
 			change, path := withInheritedSocket(t)
-			startPredecessor(t, path, say...)
-			n := startNode(t, change, h)
+			startPredecessor(t, path, messages...)
+			n := startNode(t, change, srv)
 			client := n.open("k", "")
-			s, _ := h.accept(t)
-			s.send("UP r\r\n")
+			serverConn, _ := srv.accept(t)
+			serverConn.send("UP r\r\n")
 			client.expect("UP r\r\n")
 			if got := n.counter("handover_faults"); got != 1 {
-				t.Errorf("%d faults counted", got)
+				t.Errorf("%d failures counted, want 1", got)
 			}
 		})
 	}
 }
 
-// The folder where the processes of a node meet cannot be written to for a while, as where a disk is full: the next
-// process still finds this one afterwards.
-func TestTheNextProcessFindsThisOneOnceTheFolderCanBeWritten(t *testing.T) {
-	h := newTestServer(t, "s-1")
+// Guards against a node that never listens for successors because the hand-over directory was not writable at its
+// start, for example because of a full disk.
+func TestSuccessorListenerRetriesUnwritableDirectory(t *testing.T) {
+	srv := newTestServer(t, "s-1")
 	change, path := withInheritedSocket(t)
-	folder := filepath.Dir(path)
-	if err := os.Remove(folder); err != nil {
+	dir := filepath.Dir(path)
+	if err := os.Remove(dir); err != nil {
 		t.Fatal(err)
 	}
-	n := startNode(t, change, h)
-	n.waitFor("the fault", func() bool { return n.counter("handover_faults") > 0 })
-	if err := os.Mkdir(folder, 0o700); err != nil {
+	n := startNode(t, change, srv)
+	n.waitFor("the failure", func() bool { return n.counter("handover_faults") > 0 })
+	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
 	serveAsSuccessor(t, dialAsSuccessor(t, path))
 }
 
-// A process that was told to stop takes over no more connections: the one before it, which still has them, goes on
-// with them.
-func TestAProcessThatStopsTakesOverNothing(t *testing.T) {
-	h := newTestServer(t, "s-1")
+// Guards against a stopping process that takes over connections. It must reject them, so that its predecessor keeps
+// serving them.
+func TestStoppingProcessRejectsTransfers(t *testing.T) {
+	srv := newTestServer(t, "s-1")
 	change, path := withInheritedSocket(t)
-	list := newFakeDiscovery(t, 0)
-	cfg := testConfig(t, list, h)
+	discoveryServer := newFakeDiscovery(t, 0)
+	cfg := testConfig(t, discoveryServer, srv)
 	change(&cfg)
 	cfg.Timeouts.StopMS = 5000
-	before, err := upgrade.Listen(path)
+	predecessor, err := upgrade.Listen(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(before.Close)
+	t.Cleanup(predecessor.Close)
 	links := make(chan *upgrade.Link, 1)
 	go func() {
-		link, err := before.Accept()
+		link, err := predecessor.Accept()
 		if err != nil {
 			return
 		}
 		link.Receive(time.Now().Add(testTimeout))
-		link.Send(upgrade.Message{Kind: upgrade.KindStateEnd, DiscoveryAddr: list.addr}, testTimeout)
+		link.Send(upgrade.Message{Kind: upgrade.KindStateEnd, DiscoveryAddr: discoveryServer.addr}, testTimeout)
 		link.Receive(time.Now().Add(testTimeout))
 		link.Send(upgrade.Message{Kind: upgrade.KindReleased}, testTimeout)
 		links <- link
 	}()
-	n := runNode(t, cfg, list)
+	n := runNode(t, cfg, discoveryServer)
 	link := <-links
 	t.Cleanup(link.Close)
 	n.waitFor("the node to serve", func() bool { return n.lifecycle.acceptsClients() })
-	client, server := n.establish(h) // holds the stop up
+	client, server := n.establish(srv) // delays the end of the shutdown
 	n.stop()
-	n.waitFor("the stop", func() bool { return n.logs.FilterMessage("stopping").Len() > 0 })
+	n.waitFor("the shutdown to begin", func() bool { return n.logs.FilterMessage("stopping").Len() > 0 })
 	other := newTestServer(t, "s-2")
-	toClient, _ := net.Dial("tcp", h.addr)
+	toClient, _ := net.Dial("tcp", srv.addr)
 	toServer, _ := net.Dial("tcp", other.addr)
-	standing := &exchange.OpenConnection{Head: []byte("OPEN i k c=chat,d=1000\r\n"),
+	connection := &exchange.OpenConnection{Head: []byte("OPEN i k c=chat,d=1000\r\n"),
 		Server: balance.ServerID(other.endpoint("up").ID), Addr: other.addr}
-	if err := link.Send(upgrade.Message{Kind: upgrade.KindConnection, Connection: standing}, testTimeout,
+	if err := link.Send(upgrade.Message{Kind: upgrade.KindConnection, Connection: connection}, testTimeout,
 		toClient.(*net.TCPConn), toServer.(*net.TCPConn)); err != nil {
 		t.Fatal(err)
 	}
-	if m, _ := receiveMessage(t, link); m.Kind != upgrade.KindRejected {
-		t.Errorf("a connection is %s", m.Kind)
+	if message, _ := receiveMessage(t, link); message.Kind != upgrade.KindRejected {
+		t.Errorf("the transfer is answered with %s", message.Kind)
 	}
 	client.Close()
 	server.Close()
--- a/node/leaving_test.go
+++ b/node/leaving_test.go
@@ -13,358 +13,369 @@
 	"brassmux/internal/settings"
 )
 
-// leavingClients is how many clients of a play leave.
-const leavingClients = 50
-
-// Wherever a request waits, nothing is sent for a client that has left: closed, broken, or ended its sending, since
-// until its answer it has nothing else to say. Whatever would have the request go on comes over 0.1 s later, and
-// servers count what they are sent.
-func TestAClientThatLeavesWhileItWaitsIsNotForwarded(t *testing.T) {
-	for name, place := range waitingPlaces {
-		for way, leave := range leaveWays {
-			t.Run(name+", "+way, func(t *testing.T) {
-				w := newPendingClients(t, place)
-				w.leaveAt(place, leave)
+// clientCount is the number of clients that disconnect in each test case.
+const clientCount = 50
+
+// Guards against forwarding requests of clients that have disconnected while the request waited, at any stage. A client
+// has also disconnected if it half-closes before its answer. Each stage resumes 0.1 s after the disconnect, and the
+// servers count the requests that they receive.
+func TestDisconnectedClientIsNotForwarded(t *testing.T) {
+	for name, stage := range waitingStages {
+		for method, disconnect := range disconnects {
+			t.Run(name+", "+method, func(t *testing.T) {
+				p := newPendingClients(t, stage)
+				p.disconnectAt(stage, disconnect)
 			})
 		}
 	}
 }
 
-// leaveWays are the ways in which a client leaves.
-var leaveWays = map[string]func(c *testConn){
-	"closes":                    func(c *testConn) { c.Close() },
-	"breaks":                    func(c *testConn) { c.reset() },
-	"ends its sending":          func(c *testConn) { c.CloseWrite() },
-	"closes, has written ahead": func(c *testConn) { c.send("a\r\nb\r\n"); c.Close() },
+// disconnects are ways in which a client disconnects.
+var disconnects = map[string]func(client *testConn){
+	"closes":                       func(client *testConn) { client.Close() },
+	"resets":                       func(client *testConn) { client.reset() },
+	"half-closes":                  func(client *testConn) { client.CloseWrite() },
+	"sends lines early and closes": func(client *testConn) { client.send("a\r\nb\r\n"); client.Close() },
 }
 
-// waitingPlace is a place where requests wait.
-type waitingPlace struct {
-	attempts   int  // for each client, before it leaves
-	decided    int  // times that the decisions heard of each; -1 where the node does not run yet
-	holdsCheck bool // the health check is held
-	change     func(w *pendingClients, c *Config)
-	wait       func(w *pendingClients) (then func())
+// waitingStage is a stage of processing at which requests wait.
+type waitingStage struct {
+	attempts         int  // of each client before it disconnects
+	decisions        int  // of the balancer for each client; -1 if the node does not run yet
+	holdsHealthCheck bool // the answer to the health check is held back
+
+	// change alters the configuration; it may be nil.
+	change func(p *pendingClients, c *Config)
+	// wait makes the requests wait at the stage, and returns a function that resumes their processing.
+	wait func(p *pendingClients) (resume func())
 }
 
+// checkHealthFirst enables health checks that do not time out.
 func checkHealthFirst(_ *pendingClients, c *Config) {
 	c.Timeouts.HealthCheckMS, c.Settings.Limits.HealthChecksAllowed = 60_000, true
 }
 
-func holdConnections(w *pendingClients, c *Config) {
-	c.dialServer, c.Settings.Limits.DialTimeoutMicros = w.gate.connect, 60_000_000
+// holdConnections installs the dial gate.
+func holdConnections(p *pendingClients, c *Config) {
+	c.dialServer, c.Settings.Limits.DialTimeoutMicros = p.gate.dial, 60_000_000
 }
 
-var waitingPlaces = map[string]waitingPlace{
-	// the process comes to it later
-	"in the listener's queue":                              {-1, -1, false, nil, waitInListenerQueue},
-	"in the queue":                                         {0, 0, false, nil, waitInQueue},
-	"before the queue":                                     {0, 0, false, nil, waitBeforeQueue},
-	"while its server is asked":                            {0, 1, true, checkHealthFirst, waitForHealthCheck},
-	"while its connection comes up":                        {1, 1, false, holdConnections, waitForConnection},
-	"while its next connection comes up, after an error":   {2, 1, false, holdConnections, waitForConnectionAfterError},
-	"while its next connection comes up, after a time-out": {2, 1, false, holdConnections, waitAfterTimeout},
-	"while its attempt waits for a budget": {0, 1, false, func(_ *pendingClients, c *Config) {
+// waitingStages are all stages at which a request may wait.
+var waitingStages = map[string]waitingStage{
+	// The node starts only after the disconnects.
+	"in the listener's queue":                    {-1, -1, false, nil, waitInListenerQueue},
+	"in the event queue":                         {0, 0, false, nil, waitInQueue},
+	"before the full event queue":                {0, 0, false, nil, waitBeforeQueue},
+	"during the health check":                    {0, 1, true, checkHealthFirst, waitForHealthCheck},
+	"during the connect":                         {1, 1, false, holdConnections, waitForConnection},
+	"during the second connect, after an error":  {2, 1, false, holdConnections, waitForConnectionAfterError},
+	"during the second connect, after a timeout": {2, 1, false, holdConnections, waitForConnectionAfterTimeout},
+	"waiting for the quota of connects": {0, 1, false, func(_ *pendingClients, c *Config) {
 		leaseQuotas(c)
-		c.Budgets.ConnectsPerSecond = 4 * leavingClients
+		c.Budgets.ConnectsPerSecond = 4 * clientCount
 	}, waitForConnectQuota},
-	"while it waits for its customer's budget": {0, 0, false, func(_ *pendingClients, c *Config) {
+	"waiting for the quota of the customer": {0, 0, false, func(_ *pendingClients, c *Config) {
 		leaseQuotas(c)
-		c.Budgets.OpensPerSecond = 4 * leavingClients
+		c.Budgets.OpensPerSecond = 4 * clientCount
 	}, waitForOpenQuota},
-	"before its connection is tried again": {1, 0, false, nil, waitForReconnect},
-	"while no list names its server":       {0, 0, false, nil, waitForServerName},
-	"when its server has it":               {1, 1, false, nil, waitAtServer},
+	"before a retry of a reconnect":        {1, 0, false, nil, waitForReconnect},
+	"while the server is not listed":       {0, 0, false, nil, waitForServerName},
+	"waiting for the answer of the server": {1, 1, false, nil, waitAtServer},
 }
 
-func waitInListenerQueue(w *pendingClients) func() {
-	w.open("")
-	w.leavingSeen = func() bool { return true }
-	return w.n.run
+func waitInListenerQueue(p *pendingClients) func() {
+	p.open("")
+	p.disconnectsSeen = func() bool { return true }
+	return p.n.run
 }
 
-func waitInQueue(w *pendingClients) func() {
-	hold := w.n.blockLoop()
-	w.open("")
-	w.n.waitFor("the requests", func() bool { return len(w.n.loop.events) == leavingClients })
-	w.leavingSeen = func() bool { return len(w.n.loop.events) == 2*leavingClients } // their ends, behind them
-	return func() { close(hold) }
+func waitInQueue(p *pendingClients) func() {
+	unblock := p.n.blockLoop()
+	p.open("")
+	p.n.waitFor("the requests", func() bool { return len(p.n.loop.events) == clientCount })
+	// The queue has the requests, followed by the disconnects.
+	p.disconnectsSeen = func() bool { return len(p.n.loop.events) == 2*clientCount }
+	return func() { close(unblock) }
 }
 
-func waitBeforeQueue(w *pendingClients) func() {
-	hold := w.n.blockLoop()
-	for len(w.n.loop.events) < eventQueueSize {
-		w.n.loop.post(func() {})
+func waitBeforeQueue(p *pendingClients) func() {
+	unblock := p.n.blockLoop()
+	for len(p.n.loop.events) < eventQueueSize {
+		p.n.loop.post(func() {})
 	}
-	w.open("")
-	w.n.waitFor("the requests", func() bool { return w.n.frontend.Counters.Requests.Load() == leavingClients })
-	w.leavingSeen = func() bool {
-		return strings.Count(allStacks(), "exchange.(*Exchange).endClient(") == leavingClients
+	p.open("")
+	p.n.waitFor("the requests", func() bool { return p.n.frontend.Counters.Requests.Load() == clientCount })
+	p.disconnectsSeen = func() bool {
+		return strings.Count(allStacks(), "exchange.(*Exchange).endClient(") == clientCount
 	}
-	return func() { close(hold) }
+	return func() { close(unblock) }
 }
 
-func waitForHealthCheck(w *pendingClients) func() {
-	w.open("")
-	check, _ := w.h.accept(w.t)
-	w.n.waitFor("the requests", func() bool {
-		return w.n.logs.FilterMessage("request").Len() == leavingClients
+func waitForHealthCheck(p *pendingClients) func() {
+	p.open("")
+	check, _ := p.srv.accept(p.t)
+	p.n.waitFor("the requests", func() bool {
+		return p.n.logs.FilterMessage("request").Len() == clientCount
 	})
 	return func() {
 		check.send("PONG x0=0.1\r\n")
-		w.n.waitFor("the answer", func() bool {
-			return w.n.logs.FilterMessage("health check result").Len() == 1
+		p.n.waitFor("the health check result", func() bool {
+			return p.n.logs.FilterMessage("health check result").Len() == 1
 		})
 	}
 }
 
-func waitForConnection(w *pendingClients) func() {
-	w.open("")
-	return w.awaitConnections()
+func waitForConnection(p *pendingClients) func() {
+	p.open("")
+	return p.awaitConnections()
 }
 
-func waitForConnectionAfterError(w *pendingClients) func() {
-	w.open("")
-	w.awaitConnections()()
-	for range leavingClients {
-		s, _ := w.acceptAttempt()
-		s.send("ERR\r\n")
+func waitForConnectionAfterError(p *pendingClients) func() {
+	p.open("")
+	p.awaitConnections()()
+	for range clientCount {
+		serverConn, _ := p.acceptAttempt()
+		serverConn.send("ERR\r\n")
 	}
-	return w.awaitConnections()
+	return p.awaitConnections()
 }
 
-func waitAfterTimeout(w *pendingClients) func() {
-	w.t.Parallel() // half of its time
-	w.timeoutMS = 4000
-	w.open("")
-	w.awaitConnections()()
-	for range leavingClients {
-		w.acceptAttempt() // and is not answered
+func waitForConnectionAfterTimeout(p *pendingClients) func() {
+	p.t.Parallel() // takes half of the time of the whole test
+	p.timeoutMS = 4000
+	p.open("")
+	p.awaitConnections()()
+	for range clientCount {
+		p.acceptAttempt() // without an answer
 	}
-	return w.awaitConnections()
+	return p.awaitConnections()
 }
 
-func waitForConnectQuota(w *pendingClients) func() {
-	grant := w.n.withholdQuotas(control.Connects, uint64(settings.HashServerID(w.h.id)))
-	w.open("")
-	w.n.waitFor("the requests", func() bool { return w.n.waitingForQuotas() == leavingClients })
+func waitForConnectQuota(p *pendingClients) func() {
+	grant := p.n.withholdQuotas(control.Connects, uint64(settings.HashServerID(p.srv.id)))
+	p.open("")
+	p.n.waitFor("the requests", func() bool { return p.n.waitingForQuotas() == clientCount })
 	return grant
 }
 
-func waitForOpenQuota(w *pendingClients) func() {
-	grant := w.n.withholdQuotas(control.Opens, customerHash(&exchange.Head{Key: []byte("k")}))
-	w.open("")
-	w.n.waitFor("the requests", func() bool { return w.n.waitingForQuotas() == leavingClients })
+func waitForOpenQuota(p *pendingClients) func() {
+	grant := p.n.withholdQuotas(control.Opens, customerHash(&exchange.Head{Key: []byte("k")}))
+	p.open("")
+	p.n.waitFor("the requests", func() bool { return p.n.waitingForQuotas() == clientCount })
 	return grant
 }
 
-func waitForReconnect(w *pendingClients) func() {
-	w.open(",at=s-1")
-	for range leavingClients {
-		s, _ := w.h.accept(w.t)
-		s.send("BUSY\r\n")
+func waitForReconnect(p *pendingClients) func() {
+	p.open(",at=s-1")
+	for range clientCount {
+		serverConn, _ := p.srv.accept(p.t)
+		serverConn.send("BUSY\r\n")
 	}
-	w.n.waitFor("the pause", func() bool { return w.n.counter("attempts_full") == leavingClients })
+	p.n.waitFor("the rejections", func() bool { return p.n.counter("attempts_full") == clientCount })
 	return func() {
-		w.n.discovery.sendList(2, false, w.h.endpointJSON("removed"))
-		again := make(chan int)
-		// begun after the pause
+		p.n.discovery.sendList(2, false, p.srv.endpointJSON("removed"))
+		waitingCount := make(chan int)
+		// Started after the reconnect timers, so it expires after them.
 		time.AfterFunc(reconnectInterval, func() {
-			w.n.loop.post(func() { again <- len(w.n.loop.awaitingServer) })
+			p.n.loop.post(func() { waitingCount <- len(p.n.loop.awaitingServer) })
 		})
-		if waiting := <-again; waiting > 0 {
-			w.t.Error("it waits for a list that names its server")
+		if waiting := <-waitingCount; waiting > 0 {
+			p.t.Error("requests wait for their server")
 		}
 	}
 }
 
-func waitForServerName(w *pendingClients) func() {
-	w.open(",at=s-9")
-	w.n.waitFor("them to wait", func() bool { return w.n.counter("standing_before") == leavingClients })
+func waitForServerName(p *pendingClients) func() {
+	p.open(",at=s-9")
+	p.n.waitFor("the requests", func() bool { return p.n.counter("standing_before") == clientCount })
 	return func() {
-		w.n.discovery.sendList(2, false, (&testServer{id: "s-9", addr: w.h.addr}).endpointJSON("up"))
-		w.n.waitFor("the news", func() bool {
-			return w.n.counter("list_changes") == 1 && w.n.addressOf(&testServer{id: "s-9"}) != ""
+		p.n.discovery.sendList(2, false, (&testServer{id: "s-9", addr: p.srv.addr}).endpointJSON("up"))
+		p.n.waitFor("the server to be listed", func() bool {
+			return p.n.counter("list_changes") == 1 && p.n.addressOf(&testServer{id: "s-9"}) != ""
 		})
 	}
 }
 
-func waitAtServer(w *pendingClients) func() {
-	w.open("")
+func waitAtServer(p *pendingClients) func() {
+	p.open("")
 	var servers []*testConn
-	for range leavingClients {
-		s, _ := w.h.accept(w.t)
-		servers = append(servers, s)
+	for range clientCount {
+		serverConn, _ := p.srv.accept(p.t)
+		servers = append(servers, serverConn)
 	}
 	return func() {
-		for _, s := range servers {
-			s.expectEnd(io.EOF) // what is out is called off
+		for _, serverConn := range servers {
+			serverConn.expectEnd(io.EOF) // the attempt is canceled
 		}
 	}
 }
 
-// newPendingClients starts a node with what is around clients that wait.
-func newPendingClients(t *testing.T, place waitingPlace) *pendingClients {
+// newPendingClients sets up the node and the servers for clients that wait at a stage.
+func newPendingClients(t *testing.T, stage waitingStage) *pendingClients {
 	t.Helper()
-	w := &pendingClients{t: t, h: newTestServer(t, "s-1"), gate: newDialGate(), timeoutMS: 20_000}
-	if place.holdsCheck {
-		w.h.addr = acceptConns(t, func(check *testConn) {
-			w.h.busy.Go(func() {
-				line, _ := check.in.ReadString('\n')
-				w.h.firstLines <- line
-				w.h.conns <- check
+	p := &pendingClients{t: t, srv: newTestServer(t, "s-1"), gate: newDialGate(), timeoutMS: 20_000}
+	if stage.holdsHealthCheck {
+		p.srv.addr = acceptConns(t, func(check *testConn) {
+			p.srv.handlers.Go(func() {
+				line, _ := check.reader.ReadString('\n')
+				p.srv.firstLines <- line
+				p.srv.conns <- check
 			})
 		})
 	}
-	hosts := []*testServer{w.h}
-	if place.attempts == 2 {
-		w.other = newTestServer(t, "s-2")
-		hosts = append(hosts, w.other)
+	servers := []*testServer{p.srv}
+	if stage.attempts == 2 {
+		p.other = newTestServer(t, "s-2")
+		servers = append(servers, p.other)
 	}
-	list := newFakeDiscovery(t, 0)
-	cfg := testConfig(t, list, hosts...)
+	discoveryServer := newFakeDiscovery(t, 0)
+	cfg := testConfig(t, discoveryServer, servers...)
 	cfg.Settings.Limits.HealthChecksAllowed = false
-	if place.change != nil {
-		place.change(w, &cfg)
+	if stage.change != nil {
+		stage.change(p, &cfg)
 	}
-	w.n = newTestNode(t, cfg, list)
-	if place.decided >= 0 {
-		w.n.run()
+	p.n = newTestNode(t, cfg, discoveryServer)
+	if stage.decisions >= 0 {
+		p.n.run()
 	}
-	return w
+	return p
 }
 
-// leaveAt has the clients wait, leave and be forgotten.
-func (w *pendingClients) leaveAt(place waitingPlace, leave func(c *testConn)) {
-	then := place.wait(w)
-	for _, client := range w.clients {
-		leave(client)
+// disconnectAt lets the clients wait at a stage and disconnect, and checks that nothing is sent after that.
+func (p *pendingClients) disconnectAt(stage waitingStage, disconnect func(client *testConn)) {
+	resume := stage.wait(p)
+	for _, client := range p.clients {
+		disconnect(client)
 	}
-	left := time.Now()
-	if w.leavingSeen == nil {
-		w.leavingSeen = func() bool { return w.n.counter("left") == leavingClients }
+	disconnectedAt := time.Now()
+	if p.disconnectsSeen == nil {
+		p.disconnectsSeen = func() bool { return p.n.counter("left") == clientCount }
 	}
-	w.n.waitFor("their leaving to be seen", w.leavingSeen)
-	time.Sleep(time.Until(left.Add(100 * time.Millisecond))) // the bound
-	then()
-	w.n.waitFor("all to be over", func() bool {
-		return w.n.counter("connections") == leavingClients && w.n.frontend.Handshakes() == 0 &&
-			w.n.openRequests() == 0 && w.n.frontend.OpenRequests() == 0
+	p.n.waitFor("the disconnects to be detected", p.disconnectsSeen)
+	time.Sleep(time.Until(disconnectedAt.Add(100 * time.Millisecond))) // the stage resumes after this time
+	resume()
+	p.n.waitFor("all requests to end", func() bool {
+		return p.n.counter("connections") == clientCount && p.n.frontend.Handshakes() == 0 &&
+			p.n.openRequests() == 0 && p.n.frontend.OpenRequests() == 0
 	})
-	w.checkNothingSent(place)
+	p.checkNothingSent(stage)
 }
 
-func (w *pendingClients) checkNothingSent(place waitingPlace) {
-	t := w.t
+// checkNothingSent checks that the servers got no request, and that all disconnects were counted.
+func (p *pendingClients) checkNothingSent(stage waitingStage) {
+	t := p.t
 	t.Helper()
-	if sent := w.h.countUnaccepted(t); sent > 0 {
-		t.Errorf("%d were forwarded", sent)
+	if sent := p.srv.countUnaccepted(t); sent > 0 {
+		t.Errorf("%d requests were forwarded", sent)
 	}
-	if w.other != nil && w.other.countUnaccepted(t) > 0 {
-		t.Error("some were forwarded")
+	if p.other != nil && p.other.countUnaccepted(t) > 0 {
+		t.Error("requests were forwarded to the other server")
 	}
-	if n := w.n.counter("failed"); n != 0 {
-		t.Errorf("%d count as failed", n)
+	if counted := p.n.counter("failed"); counted != 0 {
+		t.Errorf("%d requests counted as failed, want 0", counted)
 	}
-	if place.decided < 0 {
+	if stage.decisions < 0 {
 		return
 	}
-	if n := w.n.counter("attempts"); n != int64(place.attempts*leavingClients) ||
-		w.n.counter("left") != leavingClients {
-		t.Errorf("%d attempts, %d have left", n, w.n.counter("left"))
+	if counted := p.n.counter("attempts"); counted != int64(stage.attempts*clientCount) ||
+		p.n.counter("left") != clientCount {
+		t.Errorf("%d attempts and %d disconnects counted", counted, p.n.counter("left"))
 	}
-	if decided := w.n.logs.FilterMessage("request").Len(); decided != place.decided*leavingClients {
-		t.Errorf("decided on %d times", decided)
+	if decided := p.n.logs.FilterMessage("request").Len(); decided != stage.decisions*clientCount {
+		t.Errorf("the balancer got %d requests", decided)
 	}
 }
 
-// Who ends its sending and waits for no server's answer has not left.
-func TestAnEndOfSendingIsNoLeaveAtTheDoor(t *testing.T) {
+// Guards against treating a half-close as a disconnect when the node itself answers the first line.
+func TestHalfClosedClientGetsFirstLineAnswer(t *testing.T) {
 	n := startNode(t, nil)
 	for first, answer := range map[string]string{"PING\r\n": "PONG\r\n", "BOO\r\n": "ERR unknown request\r\n"} {
-		c := n.dial()
-		c.send(first)
-		c.CloseWrite()
-		c.expect(answer)
-		c.expectEnd(io.EOF)
+		client := n.dial()
+		client.send(first)
+		client.CloseWrite()
+		client.expect(answer)
+		client.expectEnd(io.EOF)
 	}
 }
 
-// pendingClients is requests that wait somewhere, with what is around them.
+// pendingClients are clients whose requests wait at a stage, with the node and the servers.
 type pendingClients struct {
-	t           *testing.T
-	n           *testNode
-	h, other    *testServer
-	gate        *dialGate
-	timeoutMS   int // for their answers, in milliseconds
-	clients     []*testConn
-	leavingSeen func() bool // their leaving has been seen
+	t               *testing.T
+	n               *testNode
+	srv, other      *testServer
+	gate            *dialGate
+	timeoutMS       int // the deadline of the requests
+	clients         []*testConn
+	disconnectsSeen func() bool // reports whether the node has detected the disconnects
 }
 
-func (w *pendingClients) open(more string) {
-	for i := range leavingClients {
-		c := w.n.dial()
-		c.send(fmt.Sprintf("OPEN id-%d k c=chat,d=%d%s\r\n", i, w.timeoutMS, more))
-		w.clients = append(w.clients, c)
+// open sends the request of each client.
+func (p *pendingClients) open(options string) {
+	for i := range clientCount {
+		client := p.n.dial()
+		client.send(fmt.Sprintf("OPEN id-%d k c=chat,d=%d%s\r\n", i, p.timeoutMS, options))
+		p.clients = append(p.clients, client)
 	}
 }
 
 // acceptAttempt waits for an attempt at either server.
-func (w *pendingClients) acceptAttempt() (s *testConn, first string) {
-	w.t.Helper()
+func (p *pendingClients) acceptAttempt() (serverConn *testConn, first string) {
+	p.t.Helper()
 	select {
-	case s = <-w.h.conns:
-		return s, <-w.h.firstLines
-	case s = <-w.other.conns:
-		return s, <-w.other.firstLines
+	case serverConn = <-p.srv.conns:
+		return serverConn, <-p.srv.firstLines
+	case serverConn = <-p.other.conns:
+		return serverConn, <-p.other.firstLines
 	case <-time.After(testTimeout):
-		w.t.Fatal("no attempt has come")
+		p.t.Fatal("no attempt")
 		return nil, ""
 	}
 }
 
-// awaitConnections waits until all have a connection that has come up and is held.
-func (w *pendingClients) awaitConnections() (pass func()) {
-	w.t.Helper()
-	for range leavingClients {
-		w.gate.awaitConnection(w.t)
+// awaitConnections waits until the dial gate holds a connection for each client. The returned function releases them.
+func (p *pendingClients) awaitConnections() (release func()) {
+	p.t.Helper()
+	for range clientCount {
+		p.gate.awaitConnection(p.t)
 	}
 	return func() {
-		for range leavingClients {
-			w.gate.release <- struct{}{}
+		for range clientCount {
+			p.gate.release <- struct{}{}
 		}
 	}
 }
 
-func TestAClientThatLeavesCallsItsAttemptOff(t *testing.T) {
-	h := newTestServer(t, "s-1")
-	n := startNode(t, nil, h)
+// Guards against an attempt that continues, or is repeated, after its client has disconnected.
+func TestDisconnectCancelsAttempt(t *testing.T) {
+	srv := newTestServer(t, "s-1")
+	n := startNode(t, nil, srv)
 	client := n.open("k", "")
-	server, _ := h.accept(t)
+	server, _ := srv.accept(t)
 	client.Close()
 	server.expectEnd(io.EOF)
 	n.expectCode("client_left")
-	n.waitFor("it to be forgotten", func() bool { return n.openRequests() == 0 })
+	n.waitFor("the request to be removed", func() bool { return n.openRequests() == 0 })
 	if n.counter("left") != 1 || n.counter("attempts") != 1 {
-		t.Error("the client's leaving is not counted, or it was tried again")
+		t.Error("the disconnect is not counted, or the request was retried")
 	}
 }
 
-// No attempt is out then, whose end would have it forgotten.
-func TestAClientThatLeavesWhileItsServerIsAskedIsForgotten(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0") // takes the probe and answers nothing
+// Guards against a request that is never removed because its client disconnects during a health check, when there is no
+// attempt whose end would remove it.
+func TestDisconnectDuringHealthCheck(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0") // accepts the health check and does not answer
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer listener.Close()
 	n := startNode(t, func(c *Config) {
 		c.Timeouts.HealthCheckMS = 60_000
-	}, &testServer{id: "s-1", addr: l.Addr().String()})
+	}, &testServer{id: "s-1", addr: listener.Addr().String()})
 	client := n.open("k", "")
-	n.waitFor("the probe", func() bool { return n.counter("probes") == 1 })
+	n.waitFor("the health check", func() bool { return n.counter("probes") == 1 })
 	client.Close()
-	n.waitFor("the client's leaving", func() bool { return n.counter("left") == 1 })
-	if held := n.openRequests(); held != 0 {
-		t.Errorf("%d held", held)
+	n.waitFor("the disconnect to be counted", func() bool { return n.counter("left") == 1 })
+	if open := n.openRequests(); open != 0 {
+		t.Errorf("%d requests are still open, want 0", open)
 	}
 }
--- a/node/lifecycle_test.go
+++ b/node/lifecycle_test.go
@@ -4,35 +4,36 @@
 	"testing"
 )
 
-func TestTheNodeIsReadyOnlyWhenItServes(t *testing.T) {
+// Guards against a process that reports itself as ready before it serves, or that accepts clients while it should not.
+func TestLifecyclePhases(t *testing.T) {
 	l := newLifecycle()
-	said := func(ready, welcome bool, now phase) {
+	expect := func(ready, accepts bool, want phase) {
 		t.Helper()
-		p, _ := l.currentPhase()
-		if l.isReady() != ready || l.acceptsClients() != welcome || p != now {
-			t.Errorf("%v: ready %v, welcome %v; want %v, %v, %v", p, l.isReady(), l.acceptsClients(), now, ready,
-				welcome)
+		got, _ := l.currentPhase()
+		if l.isReady() != ready || l.acceptsClients() != accepts || got != want {
+			t.Errorf("%v: ready %v, accepts %v; want %v, %v, %v", got, l.isReady(), l.acceptsClients(), want, ready,
+				accepts)
 		}
 	}
-	said(false, false, starting)
+	expect(false, false, starting)
 	l.setOutOfService(true)
-	said(false, false, starting)
+	expect(false, false, starting)
 	l.setStarted()
-	said(true, false, outOfService)
+	expect(true, false, outOfService)
 	l.setOutOfService(false)
-	said(true, true, serving)
+	expect(true, true, serving)
 	_, changed := l.currentPhase()
 	l.setOutOfService(false)
 	select {
 	case <-changed:
-		t.Error("an order that changes nothing is reported as a change")
+		t.Error("a call that changes nothing notifies waiters")
 	default:
 	}
 	l.setStopping()
-	said(false, false, stopping)
+	expect(false, false, stopping)
 	if l.setOutOfService(true) || l.setOutOfService(false) {
-		t.Error("orders are taken while it stops")
+		t.Error("setOutOfService succeeds while the node is stopping")
 	}
-	l.setSuccessorServing(true) // as a whole the node is there
-	said(false, true, stopping)
+	l.setSuccessorServing(true) // another process of the node accepts clients
+	expect(false, true, stopping)
 }
--- a/node/quotas_test.go
+++ b/node/quotas_test.go
@@ -13,7 +13,7 @@
 	"brassmux/internal/settings"
 )
 
-// leaseQuotas has a node share budgets with another one.
+// leaseQuotas configures a node that shares quotas with another one.
 func leaseQuotas(c *Config) {
 	c.Settings.NodeCount, c.Settings.Limits.GossipAllowed = 2, true
 	c.Settings.Workload.ConnectionQuotas = []float64{1000}
@@ -21,25 +21,25 @@
 	c.Budgets.Leased = true
 }
 
-// heldPeers are two nodes on a clock that the test moves, whose messages to one another are held until share.
+// heldPeers are two nodes with a simulated clock, whose messages to each other are held until deliverAll.
 type heldPeers struct {
 	now      time.Duration
 	loops    [2]*loop
 	messages []func()
 }
 
-// connect has the loops use the clock and hold their messages.
+// connect makes the loops use the simulated clock and hold their messages.
 func (p *heldPeers) connect() {
 	for i, l := range p.loops {
 		l.uptime = func() time.Duration { return p.now }
-		l.control.Connect(peerLink(func(to int, w budget.Message) {
-			p.messages = append(p.messages, func() { p.loops[to].control.HandlePeerMessage(i, w) })
+		l.control.Connect(peerLink(func(to int, message budget.Message) {
+			p.messages = append(p.messages, func() { p.loops[to].control.HandlePeerMessage(i, message) })
 		}))
 	}
 }
 
-// share has both do what is due, and delivers all messages.
-func (p *heldPeers) share() {
+// deliverAll calls Tick at both nodes and delivers all messages.
+func (p *heldPeers) deliverAll() {
 	for _, l := range p.loops {
 		l.control.Tick()
 	}
@@ -50,66 +50,66 @@
 	}
 }
 
-// exhaust acquires all units that a node has, and reports whether more are to come from the others.
-func exhaust(m *control.Manager, kind control.Kind, of uint64) bool {
-	for m.Available(kind, of) > 0 && m.TryAcquire(kind, of) {
+// exhaust acquires all units that a node has, and reports whether further ones must come from other nodes.
+func exhaust(manager *control.Manager, kind control.Kind, subject uint64) bool {
+	for manager.Available(kind, subject) > 0 && manager.TryAcquire(kind, subject) {
 	}
-	return m.Available(kind, of) == -1
+	return manager.Available(kind, subject) == -1
 }
 
-// withholdQuotas has a node wait for budgets: its own parts are spent, the other's words are held back, and its time
-// stands still, until grant.
-func (r *testNode) withholdQuotas(kind control.Kind, ids ...uint64) (grant func()) {
-	other := r.cfg
-	own := r.cfg.Settings.NodeIndex
-	other.Settings.NodeIndex = 1 - own
-	refused := "budget_" + strings.TrimSuffix(kind.ConfigKey(), "_per_s") + "_refused"
-	p := &heldPeers{now: 20 * time.Second} // what a start before this one did is past
-	r.inLoop(func() {
-		p.loops[own], p.loops[1-own] = r.loop, newLoop(r.t.Context(), &other, zap.NewNop())
-		p.connect()
+// withholdQuotas makes a node wait for units of quotas until grant is called: its own shares are used up, the messages
+// of the other node are held, and the clock stands still.
+func (n *testNode) withholdQuotas(kind control.Kind, subjects ...uint64) (grant func()) {
+	otherConfig := n.cfg
+	index := n.cfg.Settings.NodeIndex
+	otherConfig.Settings.NodeIndex = 1 - index
+	refusedCounter := "budget_" + strings.TrimSuffix(kind.ConfigKey(), "_per_s") + "_refused"
+	peers := &heldPeers{now: 20 * time.Second} // after the time in which an earlier process may have used units
+	n.inLoop(func() {
+		peers.loops[index], peers.loops[1-index] = n.loop, newLoop(n.t.Context(), &otherConfig, zap.NewNop())
+		peers.connect()
 		for range 100 {
-			p.now += 100 * time.Millisecond
-			p.share()
+			peers.now += 100 * time.Millisecond
+			peers.deliverAll()
 		}
-		m := r.loop.control
-		for _, of := range ids {
-			if !exhaust(m, kind, of) || m.State().Leader == own {
-				r.t.Error("none waits for the other node")
+		manager := n.loop.control
+		for _, subject := range subjects {
+			if !exhaust(manager, kind, subject) || manager.State().Leader == index {
+				n.t.Error("the quota is not exhausted, or the node is the leader")
 			}
 		}
 	})
 	return func() {
-		r.inLoop(func() {
-			p.now += quotaWait / 10
-			p.share()
-			p.share()
-			if len(r.loop.control.Waiting()) > 0 || counterOf(r.Node, refused) > 0 {
-				r.t.Error("some wait on, or go without")
+		n.inLoop(func() {
+			peers.now += quotaWait / 10
+			peers.deliverAll()
+			peers.deliverAll()
+			if len(n.loop.control.Waiting()) > 0 || counterValue(n.Node, refusedCounter) > 0 {
+				n.t.Error("requests still wait for units, or were refused")
 			}
 		})
 	}
 }
 
-// The same, and the attempt waits for a budget.
-func TestNothingIsSentToAServerThatDrainsWhileAnAttemptWaitsForABudget(t *testing.T) {
+// Guards against an attempt that waits for its quota while the server begins to drain, and is then sent there.
+func TestAttemptWaitingForQuotaAvoidsDrainingServer(t *testing.T) {
 	first, other := newTestServer(t, "s-1"), newTestServer(t, "s-2")
 	n := startNode(t, func(c *Config) {
 		leaseQuotas(c)
 		c.Settings.Limits.HealthChecksAllowed, c.Budgets.ConnectsPerSecond = false, 20
 	}, first, other)
-	of := func(h *testServer) uint64 { return uint64(settings.HashServerID(h.id)) }
-	grant := n.withholdQuotas(control.Connects, of(first), of(other))
+	subject := func(srv *testServer) uint64 { return uint64(settings.HashServerID(srv.id)) }
+	grant := n.withholdQuotas(control.Connects, subject(first), subject(other))
 	client := n.open("k", "")
 	n.waitFor("the request", func() bool { return n.waitingForQuotas() == 1 })
 	n.inLoop(func() {
-		quota := budget.ID{Kind: uint8(control.Connects), Subject: of(first)}
+		quota := budget.ID{Kind: uint8(control.Connects), Subject: subject(first)}
 		if !slices.Contains(n.loop.control.Waiting(), quota) {
 			first, other = other, first
 		}
 	})
 	n.discovery.sendList(2, false, first.endpointJSON("draining"))
-	n.waitFor("the drain", func() bool { return n.drains(first) })
+	n.waitFor("the drain", func() bool { return n.isDraining(first) })
 	n.waitFor("another attempt", func() bool {
 		grant()
 		return len(other.conns) > 0
@@ -118,12 +118,12 @@
 	server.send("UP r\r\n")
 	client.expect("UP r\r\n")
 	if first.countUnaccepted(t) > 0 {
-		t.Error("the one that drains was sent it")
+		t.Error("the request was sent to the draining server")
 	}
 }
 
-// waitingForQuotas counts who does.
-func (r *testNode) waitingForQuotas() (n int) {
-	r.inLoop(func() { n = len(r.loop.control.Waiting()) })
-	return n
+// waitingForQuotas returns the number of requests that wait for units of quotas.
+func (n *testNode) waitingForQuotas() (count int) {
+	n.inLoop(func() { count = len(n.loop.control.Waiting()) })
+	return count
 }
--- a/node/slowstart_test.go
+++ b/node/slowstart_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// coldSite is a site of four servers that are in slow start for 20 s, in which they bear little.
+// Settings of a site whose servers have little capacity for 20 s after their start.
 const (
 	slowStartQuota       = 40.0
 	slowStartMinCapacity = 0.05
@@ -17,6 +17,7 @@
 	overloadWindow       = time.Second
 )
 
+// slowStartSite configures the site.
 func slowStartSite(c *Config) {
 	c.Settings.Servers.SlowStartMinCapacity, c.Settings.Servers.SlowStartWindowMicros = slowStartMinCapacity,
 		slowStartWindow.Microseconds()
@@ -25,96 +26,98 @@
 	c.Settings.Workload.ConnectionQuotas = []float64{slowStartQuota}
 }
 
-// slowStartLimit is the most that one of servers may get in a window at an age: N, and what the operators let come by
-// chance beside it.
+// slowStartLimit returns the maximum number of connections in a window for one of several servers at an age: the
+// expected number n, plus the random variation of 3*sqrt(n)+3 that operators tolerate.
 func slowStartLimit(servers int, age time.Duration) float64 {
-	share := min(slowStartMinCapacity+(1-slowStartMinCapacity)*age.Seconds()/slowStartWindow.Seconds(), 1)
-	n := slowStartQuota / slowStartWindow.Seconds() * overloadFactor * overloadWindow.Seconds() /
-		float64(servers) * share
-	return n + 3*math.Sqrt(n) + 3
+	capacity := min(slowStartMinCapacity+(1-slowStartMinCapacity)*age.Seconds()/slowStartWindow.Seconds(), 1)
+	expected := slowStartQuota / slowStartWindow.Seconds() * overloadFactor * overloadWindow.Seconds() /
+		float64(servers) * capacity
+	return expected + 3*math.Sqrt(expected) + 3
 }
 
-// clockSteps are by how much a machine's wall clock may be off.
-var clockSteps = []time.Duration{0, 2 * time.Second, 30 * time.Second, time.Hour, -2 * time.Second,
+// clockOffsets are errors of the wall clock.
+var clockOffsets = []time.Duration{0, 2 * time.Second, 30 * time.Second, time.Hour, -2 * time.Second,
 	-30 * time.Second, -time.Hour}
 
-// slowStartScenario plays a node with four servers, of which the fourth starts anew, and checks that this one gets no
-// more than it bears. Before that, at says what happens; the node's configuration is changed first.
+// slowStartScenario runs a node with four servers, restarts the fourth one, and checks that this one gets no more
+// connections than its slow-start limit. change alters the configuration of the node; before is called before the
+// restart is listed.
 type slowStartScenario struct {
-	change    func(*Config)
-	omitsDate bool // the list service tells no Date
-	known     bool // the start stands in the list that the node begins with
-	before    func(n *testNode)
+	change       func(*Config)
+	omitsDate    bool // responses of the discovery service have no Date header
+	startIsKnown bool // the initial endpoint list has the restart already
+	before       func(n *testNode)
 }
 
 func (s slowStartScenario) run(t *testing.T) {
 	t.Helper()
-	hosts := []*testServer{newTestServer(t, "s-1"), newTestServer(t, "s-2"), newTestServer(t, "s-3"),
+	servers := []*testServer{newTestServer(t, "s-1"), newTestServer(t, "s-2"), newTestServer(t, "s-3"),
 		newTestServer(t, "s-4")}
 	var counts []*atomic.Int64
-	all := []string{}
-	for _, h := range hosts {
-		counts = append(counts, acceptAll(t, h))
-		all = append(all, h.endpointJSON("up"))
+	entries := []string{}
+	for _, srv := range servers {
+		counts = append(counts, acceptAll(t, srv))
+		entries = append(entries, srv.endpointJSON("up"))
 	}
-	list := newFakeDiscovery(t, 0)
-	list.omitsDate = s.omitsDate
-	cfg := testConfig(t, list, hosts...)
+	discoveryServer := newFakeDiscovery(t, 0)
+	discoveryServer.omitsDate = s.omitsDate
+	cfg := testConfig(t, discoveryServer, servers...)
 	slowStartSite(&cfg)
-	begun := time.Now()
-	if s.known {
-		cfg.InitialEndpoints.Servers[3].StartedAtMillis = begun.UnixMilli()
-		all[3] = hosts[3].endpointJSONSince("up", begun)
+	startedAt := time.Now()
+	if s.startIsKnown {
+		cfg.InitialEndpoints.Servers[3].StartedAtMillis = startedAt.UnixMilli()
+		entries[3] = servers[3].endpointJSONSince("up", startedAt)
 	}
 	if s.change != nil {
 		s.change(&cfg)
 	}
-	n := runNode(t, cfg, list)
-	list.sendList(2, true, all...)
+	n := runNode(t, cfg, discoveryServer)
+	discoveryServer.sendList(2, true, entries...)
 	n.waitFor("the list", func() bool { return n.counter("list_changes") == 1 })
 	if s.before != nil {
 		s.before(n)
 	}
-	if !s.known {
-		begun = time.Now()
+	if !s.startIsKnown {
+		startedAt = time.Now()
 	}
-	list.sendList(3, false, hosts[3].endpointJSONSince("up", begun))
-	n.waitFor("the new start", func() bool { return n.counter("list_changes") == 2 })
+	discoveryServer.sendList(3, false, servers[3].endpointJSONSince("up", startedAt))
+	n.waitFor("the restart", func() bool { return n.counter("list_changes") == 2 })
 	for i := range 150 {
 		client := n.open(fmt.Sprintf("k%d", i), "")
-		client.readLine() // whatever the answer is
+		client.readLine() // any answer
 		client.Close()
 	}
-	got, windows := float64(counts[3].Load()), math.Ceil(time.Since(begun).Seconds()/overloadWindow.Seconds())
-	if limit := slowStartLimit(len(hosts), time.Since(begun)) * windows; got > limit {
-		t.Errorf("the server that has just started got %v of 150 requests, %.1f is the most", got, limit)
+	received, windows := float64(counts[3].Load()), math.Ceil(time.Since(startedAt).Seconds()/overloadWindow.Seconds())
+	if limit := slowStartLimit(len(servers), time.Since(startedAt)) * windows; received > limit {
+		t.Errorf("the restarted server got %v of 150 requests, limit %.1f", received, limit)
 	}
 	if others := counts[0].Load() + counts[1].Load() + counts[2].Load(); others < 75 {
-		t.Errorf("the others got %d of 150 requests", others)
+		t.Errorf("the other servers got %d of 150 requests, want at least 75", others)
 	}
 }
 
-// A server that starts anew while a node runs is in slow start for it, however wrong the wall clock was when the node
-// began.
-func TestAServerInSlowStartIsSparedWhateverTheWallClockSaidAtTheStart(t *testing.T) {
-	for _, off := range clockSteps {
-		t.Run(off.String(), func(t *testing.T) {
+// Guards against a restarted server that is not in slow start because the wall clock was wrong when the node started.
+func TestSlowStartWithWrongClockAtStart(t *testing.T) {
+	for _, offset := range clockOffsets {
+		t.Run(offset.String(), func(t *testing.T) {
 			t.Parallel()
-			change := func(c *Config) { c.TestOptions.ClockOffsetMS = off.Milliseconds() }
+			change := func(c *Config) { c.TestOptions.ClockOffsetMS = offset.Milliseconds() }
 			slowStartScenario{change: change}.run(t)
 			slowStartScenario{change: change, omitsDate: true}.run(t)
-			slowStartScenario{change: change, known: true}.run(t) // the Date of the list's answer is what tells
+			slowStartScenario{change: change, startIsKnown: true}.run(t) // the Date header reveals the wrong clock
 		})
 	}
 }
 
-// Steps of the wall clock while a node runs change nothing, whichever reading was the right one.
-func TestAServerInSlowStartIsSparedWhateverTheWallClockDoesMeanwhile(t *testing.T) {
-	for _, off := range clockSteps {
-		t.Run(off.String(), func(t *testing.T) {
+// Guards against a restarted server that is not in slow start because the wall clock steps while the node runs, from or
+// to the correct time.
+func TestSlowStartWithClockSteps(t *testing.T) {
+	for _, offset := range clockOffsets {
+		t.Run(offset.String(), func(t *testing.T) {
 			t.Parallel()
-			for name, first := range map[string]time.Duration{"right before": 0, "right since": off} {
-				stepWallClock(t, first, off-first)
+			for name, initialOffset := range map[string]time.Duration{"correct before step": 0,
+				"correct after step": offset} {
+				stepWallClock(t, initialOffset, offset-initialOffset)
 				if t.Failed() {
 					t.Fatal(name)
 				}
@@ -123,29 +126,30 @@
 	}
 }
 
-// stepWallClock runs a scenario in which the wall clock is off by one time at first, and by another in the end.
-func stepWallClock(t *testing.T, first, last time.Duration) {
+// stepWallClock runs a scenario in which the error of the wall clock changes.
+func stepWallClock(t *testing.T, initialOffset, finalOffset time.Duration) {
 	t.Helper()
-	var wall atomic.Int64 // by how much it is off
-	wall.Store(int64(first))
+	var clockOffset atomic.Int64 // the error of the wall clock
+	clockOffset.Store(int64(initialOffset))
 	slowStartScenario{omitsDate: true, change: func(c *Config) {
-		c.TestOptions.WallClock = func() time.Time { return time.Now().Add(time.Duration(wall.Load())) }
-	}, before: func(*testNode) { wall.Store(int64(last)) }}.run(t)
+		c.TestOptions.WallClock = func() time.Time { return time.Now().Add(time.Duration(clockOffset.Load())) }
+	}, before: func(*testNode) { clockOffset.Store(int64(finalOffset)) }}.run(t)
 }
 
-// A clock that was ahead when the node began, and is set right later, is evidence about the servers that were known
-// before, too.
-func TestAStepBackTellsOfServersThatWereTakenForWarm(t *testing.T) {
-	var wall atomic.Int64
-	wall.Store(int64(time.Hour))
-	slowStartScenario{omitsDate: true, known: true, change: func(c *Config) {
-		c.TestOptions.WallClock = func() time.Time { return time.Now().Add(time.Duration(wall.Load())) }
-	}, before: func(*testNode) { wall.Store(0) }}.run(t)
+// Guards against servers that were treated as past slow start by a clock that was ahead, and stay so after the clock is
+// set back. The step back must put the servers of the initial list in slow start too.
+func TestClockStepBackRestoresSlowStart(t *testing.T) {
+	var clockOffset atomic.Int64
+	clockOffset.Store(int64(time.Hour))
+	slowStartScenario{omitsDate: true, startIsKnown: true, change: func(c *Config) {
+		c.TestOptions.WallClock = func() time.Time { return time.Now().Add(time.Duration(clockOffset.Load())) }
+	}, before: func(*testNode) { clockOffset.Store(0) }}.run(t)
 }
 
-// A process that is told to stop leaves servers in slow start to the next one, which may run already.
-func TestAProcessThatStopsSendsNothingToServersInSlowStart(t *testing.T) {
-	hosts := []*testServer{newTestServer(t, "s-1"), newTestServer(t, "s-2")}
+// Guards against a stopping process that uses the capacity of servers in slow start, which belongs to its successor by
+// then.
+func TestStoppingProcessAvoidsSlowStartServers(t *testing.T) {
+	servers := []*testServer{newTestServer(t, "s-1"), newTestServer(t, "s-2")}
 	n := startNode(t, func(c *Config) {
 		slowStartSite(c)
 		c.Settings.Servers.SlowStartMinCapacity = 1
@@ -153,28 +157,28 @@
 		c.Settings.Limits.HealthChecksAllowed = false
 		c.Timeouts.AcceptAfterStopMS, c.Timeouts.StopMS = 2000, 4000
 		c.InitialEndpoints.Servers[1].StartedAtMillis = time.Now().Add(-10 * time.Second).UnixMilli()
-	}, hosts...)
-	counts := []*atomic.Int64{acceptAll(t, hosts[0]), acceptAll(t, hosts[1])}
-	ask := func(i int) {
+	}, servers...)
+	counts := []*atomic.Int64{acceptAll(t, servers[0]), acceptAll(t, servers[1])}
+	request := func(i int) {
 		client := n.open(fmt.Sprintf("k%d", i), "")
 		client.readLine()
 		client.Close()
 	}
-	asked := 0
+	requested := 0
 	n.waitFor("a client at the server in slow start", func() bool {
-		ask(asked)
-		asked++
+		request(requested)
+		requested++
 		return counts[1].Load() > 0
 	})
 	n.stop()
-	n.waitFor("the stop", func() bool { return n.logs.FilterMessage("stopping").Len() > 0 })
-	n.openRequests() // the loop has been told
+	n.waitFor("the shutdown to begin", func() bool { return n.logs.FilterMessage("stopping").Len() > 0 })
+	n.openRequests() // waits until the loop has handled the shutdown
 	before := counts[1].Load()
 	for range 40 {
-		ask(asked)
-		asked++
+		request(requested)
+		requested++
 	}
 	if got := counts[1].Load() - before; got > 0 {
-		t.Errorf("%d of 40 went to the server in slow start", got)
+		t.Errorf("%d of 40 requests went to the server in slow start, want 0", got)
 	}
 }
--- a/node/testconn_test.go
+++ b/node/testconn_test.go
@@ -9,54 +9,58 @@
 	"time"
 )
 
-// testTimeout is how long a test waits for what must come.
+// testTimeout limits the time that a test waits for an expected event.
 const testTimeout = 10 * time.Second
 
 // testConn is one end of a connection in a test.
 type testConn struct {
 	*net.TCPConn
-	in *bufio.Reader
-	t  *testing.T
+	reader *bufio.Reader
+	t      *testing.T
 }
 
-func newTestConn(t *testing.T, c net.Conn) *testConn {
-	c.SetDeadline(time.Now().Add(testTimeout))
-	t.Cleanup(func() { c.Close() })
-	return &testConn{c.(*net.TCPConn), bufio.NewReaderSize(c, 1<<16), t}
+func newTestConn(t *testing.T, conn net.Conn) *testConn {
+	conn.SetDeadline(time.Now().Add(testTimeout))
+	t.Cleanup(func() { conn.Close() })
+	return &testConn{conn.(*net.TCPConn), bufio.NewReaderSize(conn, 1<<16), t}
 }
 
-func (w *testConn) send(text string) {
-	w.t.Helper()
-	if _, err := io.WriteString(w.TCPConn, text); err != nil {
-		w.t.Errorf("%q: %v", text, err)
+// send writes a text.
+func (conn *testConn) send(text string) {
+	conn.t.Helper()
+	if _, err := io.WriteString(conn.TCPConn, text); err != nil {
+		conn.t.Errorf("%q: %v", text, err)
 	}
 }
 
-func (w *testConn) expect(want string) {
-	w.t.Helper()
-	if line, err := w.in.ReadString('\n'); line != want {
-		w.t.Fatalf("got %q, %v, want %q", line, err, want)
+// expect reads a line and compares it.
+func (conn *testConn) expect(want string) {
+	conn.t.Helper()
+	if line, err := conn.reader.ReadString('\n'); line != want {
+		conn.t.Fatalf("got %q, %v, want %q", line, err, want)
 	}
 }
 
-func (w *testConn) readLine() string {
-	w.t.Helper()
-	line, err := w.in.ReadString('\n')
+// readLine reads any line.
+func (conn *testConn) readLine() string {
+	conn.t.Helper()
+	line, err := conn.reader.ReadString('\n')
 	if err != nil {
-		w.t.Fatalf("got %q, %v, want a line", line, err)
+		conn.t.Fatalf("got %q, %v, want a line", line, err)
 	}
 	return line
 }
 
-// expectEnd checks that the other side ends with this error and nothing before it.
-func (w *testConn) expectEnd(want error) {
-	w.t.Helper()
-	if line, err := w.in.ReadString('\n'); line != "" || !errors.Is(err, want) {
-		w.t.Fatalf("got %q, %v, want %v", line, err, want)
+// expectEnd checks that reading ends with this error, without data before it.
+func (conn *testConn) expectEnd(want error) {
+	conn.t.Helper()
+	if line, err := conn.reader.ReadString('\n'); line != "" || !errors.Is(err, want) {
+		conn.t.Fatalf("got %q, %v, want %v", line, err, want)
 	}
 }
 
-func (w *testConn) reset() {
-	w.SetLinger(0)
-	w.Close()
+// reset closes the connection with a TCP reset.
+func (conn *testConn) reset() {
+	conn.SetLinger(0)
+	conn.Close()
 }
--- a/node/testnode_test.go
+++ b/node/testnode_test.go
@@ -19,71 +19,73 @@
 	"brassmux/internal/settings"
 )
 
+// withoutHealthChecks disables health checks, and the timeout of connects.
 func withoutHealthChecks(c *Config) {
 	c.Settings.Limits.HealthChecksAllowed, c.Settings.Limits.DialTimeoutMicros = false, 60_000_000
 }
 
-// inLoop has the loop do something, and waits.
-func (r *testNode) inLoop(do func()) {
+// inLoop runs a function in the event loop and waits for it.
+func (n *testNode) inLoop(run func()) {
 	done := make(chan struct{})
-	r.loop.post(func() {
-		do()
+	n.loop.post(func() {
+		run()
 		close(done)
 	})
 	<-done
 }
 
-// blockLoop keeps the loop from what comes next, until the channel is closed.
-func (r *testNode) blockLoop() (hold chan struct{}) {
-	hold = make(chan struct{})
-	held := make(chan struct{})
-	r.loop.post(func() {
-		close(held)
-		<-hold
+// blockLoop blocks the event loop until the returned channel is closed.
+func (n *testNode) blockLoop() (unblock chan struct{}) {
+	unblock = make(chan struct{})
+	blocked := make(chan struct{})
+	n.loop.post(func() {
+		close(blocked)
+		<-unblock
 	})
-	<-held
-	return hold
+	<-blocked
+	return unblock
 }
 
-// allStacks is what all goroutines are at, whole.
+// allStacks returns the complete stacks of all goroutines.
 func allStacks() string {
 	for size := 1 << 20; ; size *= 2 {
-		all := make([]byte, size)
-		if n := runtime.Stack(all, true); n < size {
-			return string(all[:n])
+		buffer := make([]byte, size)
+		if n := runtime.Stack(buffer, true); n < size {
+			return string(buffer[:n])
 		}
 	}
 }
 
-// drains asks the loop whether a server drains.
-func (r *testNode) drains(h *testServer) bool {
-	drains := make(chan bool)
-	r.loop.post(func() { drains <- r.loop.drainingServers[balance.ServerID(settings.HashServerID(h.id))] })
-	return <-drains
+// isDraining reports whether a server is draining in the endpoint list of the node.
+func (n *testNode) isDraining(srv *testServer) bool {
+	isDraining := make(chan bool)
+	n.loop.post(func() { isDraining <- n.loop.drainingServers[balance.ServerID(settings.HashServerID(srv.id))] })
+	return <-isDraining
 }
 
-// awaitFirstList waits until the first watch has told a list.
-func (r *testNode) awaitFirstList() {
-	r.t.Helper()
-	r.waitFor("the first watch", func() bool { return r.counter("list_calls") == 1 })
-	r.discovery.sendList(2, false)
-	r.waitFor("its first list", func() bool { return r.counter("list_changes") == 1 })
+// awaitFirstList waits until the first watch has received a list.
+func (n *testNode) awaitFirstList() {
+	n.t.Helper()
+	n.waitFor("the first watch", func() bool { return n.counter("list_calls") == 1 })
+	n.discovery.sendList(2, false)
+	n.waitFor("the first list", func() bool { return n.counter("list_changes") == 1 })
 }
 
-// held asks the loop how many requests it holds.
-func (r *testNode) openRequests() int {
-	held := make(chan int)
-	r.loop.post(func() { held <- len(r.loop.requests) })
-	return <-held
+// openRequests returns the number of requests that the event loop holds.
+func (n *testNode) openRequests() int {
+	count := make(chan int)
+	n.loop.post(func() { count <- len(n.loop.requests) })
+	return <-count
 }
 
-// addressOf asks the loop where a host is.
-func (r *testNode) addressOf(h *testServer) string {
+// addressOf returns the address of a server in the endpoint list of the node, or "" if it is not listed.
+func (n *testNode) addressOf(srv *testServer) string {
 	addr := make(chan string)
-	r.loop.post(func() { addr <- r.loop.servers[balance.ServerID(settings.HashServerID(h.id))].Addr })
+	n.loop.post(func() { addr <- n.loop.servers[balance.ServerID(settings.HashServerID(srv.id))].Addr })
 	return <-addr
 }
 
+// siteJSON is the section "settings" of the configurations in tests.
 const siteJSON = `{"balancers":1,"tick_us":5000,"membership_mode":"on_request",
  "ceilings":{"dial_timeout_us":200000,"keepalive_us":5000000,"max_open":10000,"max_retry_after_us":1000000,
   "may_probe":true,"retry_after":true,"send_cap":3},
@@ -91,24 +93,24 @@
  "family_info":{"message_aim_us":[300000,300000]},"report":{"fields":["x0"],"via":"probe"},
  "rules":{"cold_from":0.3,"cold_us":8000000,"fall_multiple":3,"fall_us":2000000}}`
 
-// measureLateness measures by how much a goroutine that does nothing else is late on this machine, at most, until it
-// is asked.
+// measureLateness measures how late an otherwise idle goroutine wakes up. The returned function returns the maximum so
+// far.
 func measureLateness(t *testing.T) (maxLateness func() time.Duration) {
-	var late atomic.Int64
-	stop := make(chan struct{})
-	t.Cleanup(func() { close(stop) })
+	var lateness atomic.Int64
+	done := make(chan struct{})
+	t.Cleanup(func() { close(done) })
 	go func() {
-		const nap = time.Millisecond
-		for begun := time.Now(); ; begun = time.Now() {
+		const interval = time.Millisecond
+		for startedAt := time.Now(); ; startedAt = time.Now() {
 			select {
-			case <-stop:
+			case <-done:
 				return
-			case <-time.After(nap):
-				late.Store(max(late.Load(), int64(time.Since(begun)-nap)))
+			case <-time.After(interval):
+				lateness.Store(max(lateness.Load(), int64(time.Since(startedAt)-interval)))
 			}
 		}
 	}()
-	return func() time.Duration { return time.Duration(late.Load()) }
+	return func() time.Duration { return time.Duration(lateness.Load()) }
 }
 
 // testNode is a node under test.
@@ -120,115 +122,121 @@
 	stop      context.CancelFunc
 	done      chan error
 
-	opened map[string]int // by key
+	openedByKey map[string]int // connections opened with each key
 }
 
-func testConfig(t *testing.T, list *fakeDiscovery, hosts ...*testServer) Config {
+// testConfig returns the configuration of a node with servers in its initial endpoint list.
+func testConfig(t *testing.T, discoveryServer *fakeDiscovery, servers ...*testServer) Config {
 	t.Helper()
-	c := Config{Name: "n0", Listen: "127.0.0.1:0", Discovery: list.addr, Seed: "8c1f30d27a5be964",
+	cfg := Config{Name: "n0", Listen: "127.0.0.1:0", Discovery: discoveryServer.addr, Seed: "8c1f30d27a5be964",
 		Limits:           Limits{Cores: 1, MemoryMB: 256, FileDescriptors: 1024},
 		InitialEndpoints: discovery.EndpointList{Version: 1, Full: true},
 		Timeouts:         Timeouts{AcceptAfterStopMS: 20, ServerDrainMS: 20, StopMS: 550}}
-	if err := json.Unmarshal([]byte(siteJSON), &c.Settings); err != nil {
+	if err := json.Unmarshal([]byte(siteJSON), &cfg.Settings); err != nil {
 		t.Fatal(err)
 	}
-	for _, h := range hosts {
-		c.InitialEndpoints.Servers = append(c.InitialEndpoints.Servers, h.endpoint("up"))
+	for _, srv := range servers {
+		cfg.InitialEndpoints.Servers = append(cfg.InitialEndpoints.Servers, srv.endpoint("up"))
 	}
-	return c
+	return cfg
 }
 
-// startNode runs a node that knows some hosts; change may alter its configuration.
-func startNode(t *testing.T, change func(*Config), hosts ...*testServer) *testNode {
+// startNode runs a node with servers in its initial endpoint list. change may alter its configuration, or be nil.
+func startNode(t *testing.T, change func(*Config), servers ...*testServer) *testNode {
 	t.Helper()
-	list := newFakeDiscovery(t, 0)
-	cfg := testConfig(t, list, hosts...)
+	discoveryServer := newFakeDiscovery(t, 0)
+	cfg := testConfig(t, discoveryServer, servers...)
 	if change != nil {
 		change(&cfg)
 	}
-	return runNode(t, cfg, list)
+	return runNode(t, cfg, discoveryServer)
 }
 
-func runNode(t *testing.T, cfg Config, list *fakeDiscovery) *testNode {
+// runNode creates a node and runs it until the test ends.
+func runNode(t *testing.T, cfg Config, discoveryServer *fakeDiscovery) *testNode {
 	t.Helper()
-	r := newTestNode(t, cfg, list)
-	r.run()
-	return r
+	n := newTestNode(t, cfg, discoveryServer)
+	n.run()
+	return n
 }
 
-// newTestNode makes a node that listens, and does not run yet.
-func newTestNode(t *testing.T, cfg Config, list *fakeDiscovery) *testNode {
+// newTestNode creates a node that listens but does not run yet.
+func newTestNode(t *testing.T, cfg Config, discoveryServer *fakeDiscovery) *testNode {
 	t.Helper()
 	core, logs := observer.New(zapcore.DebugLevel)
 	n, err := New(cfg, zap.New(core))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &testNode{Node: n, t: t, discovery: list, logs: logs, done: make(chan error, 1), opened: map[string]int{}}
+	return &testNode{Node: n, t: t, discovery: discoveryServer, logs: logs, done: make(chan error, 1),
+		openedByKey: map[string]int{}}
 }
 
-// run has it run until the test ends.
-func (r *testNode) run() {
+// run runs the node until the test ends.
+func (n *testNode) run() {
 	ctx, stop := context.WithCancel(context.Background())
-	r.stop = stop
-	go func() { r.done <- r.Run(ctx) }()
-	r.t.Cleanup(func() {
+	n.stop = stop
+	go func() { n.done <- n.Run(ctx) }()
+	n.t.Cleanup(func() {
 		stop()
-		r.wait()
+		n.wait()
 	})
 }
 
 // wait waits for the node to stop.
-func (r *testNode) wait() {
-	r.t.Helper()
+func (n *testNode) wait() {
+	n.t.Helper()
 	select {
-	case err := <-r.done:
+	case err := <-n.done:
 		if err != nil {
-			r.t.Error(err)
+			n.t.Error(err)
 		}
-		r.done <- nil
+		n.done <- nil
 	case <-time.After(testTimeout):
-		r.t.Fatal("the node does not stop")
+		n.t.Fatal("the node does not stop")
 	}
 }
 
-func (r *testNode) dial() *testConn {
-	r.t.Helper()
-	c, err := net.Dial("tcp", r.Addr().String())
+// dial opens a connection to the node.
+func (n *testNode) dial() *testConn {
+	n.t.Helper()
+	conn, err := net.Dial("tcp", n.Addr().String())
 	if err != nil {
-		r.t.Fatal(err)
+		n.t.Fatal(err)
 	}
-	return newTestConn(r.t, c)
+	return newTestConn(n.t, conn)
 }
 
-// requestID is that of the last connection opened with a key: new with every one.
-func (r *testNode) requestID(key string) string { return fmt.Sprintf("id-%s-%d", key, r.opened[key]) }
+// requestID returns the request ID of the last connection opened with a key. Each connection has a new one.
+func (n *testNode) requestID(key string) string {
+	return fmt.Sprintf("id-%s-%d", key, n.openedByKey[key])
+}
 
-// open begins a connection with a key and further names and values.
-func (r *testNode) open(key, more string) *testConn {
-	r.t.Helper()
-	w := r.dial()
-	r.opened[key]++
-	w.send("OPEN " + r.requestID(key) + " " + key + " c=chat,d=2000" + more + "\r\n")
-	return w
+// open sends a request with a key and further options.
+func (n *testNode) open(key, options string) *testConn {
+	n.t.Helper()
+	conn := n.dial()
+	n.openedByKey[key]++
+	conn.send("OPEN " + n.requestID(key) + " " + key + " c=chat,d=2000" + options + "\r\n")
+	return conn
 }
 
-// establish sets up a connection through the node to a host.
-func (r *testNode) establish(h *testServer) (client, server *testConn) {
-	r.t.Helper()
-	client = r.open("k", "")
-	server, _ = h.accept(r.t)
+// establish establishes a connection through the node to a server.
+func (n *testNode) establish(srv *testServer) (client, server *testConn) {
+	n.t.Helper()
+	client = n.open("k", "")
+	server, _ = srv.accept(n.t)
 	server.send("UP r-1\r\n")
 	client.expect("UP r-1\r\n")
 	return client, server
 }
 
-// expectCode waits for a connection's last log line and checks its code.
-func (r *testNode) expectCode(want string) {
-	r.t.Helper()
-	r.waitFor("a log line with code "+want, func() bool {
-		for _, e := range r.logs.FilterMessage("connection ended").All() {
-			if e.ContextMap()["code"] == want {
+// expectCode waits for the final log line of a connection with this code.
+func (n *testNode) expectCode(want string) {
+	n.t.Helper()
+	n.waitFor("a log line with code "+want, func() bool {
+		for _, entry := range n.logs.FilterMessage("connection ended").All() {
+			if entry.ContextMap()["code"] == want {
 				return true
 			}
 		}
@@ -237,25 +245,25 @@
 }
 
 // waitFor waits for a condition.
-func (r *testNode) waitFor(what string, holds func() bool) {
-	r.t.Helper()
-	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			for _, e := range r.logs.All() {
-				r.t.Log(e.Message, e.ContextMap())
+func (n *testNode) waitFor(description string, condition func() bool) {
+	n.t.Helper()
+	for deadline := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			for _, entry := range n.logs.All() {
+				n.t.Log(entry.Message, entry.ContextMap())
 			}
-			r.t.Fatal("waited in vain for " + what)
+			n.t.Fatal("timeout waiting for " + description)
 		}
 	}
 }
 
-// counter reads one of the node's counters.
-func (r *testNode) counter(name string) int64 {
-	for _, f := range r.Counters() {
-		if f.Key == name {
-			return f.Integer
+// counter returns one of the node's counters.
+func (n *testNode) counter(name string) int64 {
+	for _, field := range n.Counters() {
+		if field.Key == name {
+			return field.Integer
 		}
 	}
-	r.t.Fatal("no counter " + name)
+	n.t.Fatal("no counter " + name)
 	return 0
 }
--- a/node/testserver_test.go
+++ b/node/testserver_test.go
@@ -14,134 +14,138 @@
 	"brassmux/internal/settings"
 )
 
-// recordingServer is a server that counts what it is sent: got has all of each connection once that has ended.
+// recordingServer is a server that sends the data of each connection to the channel received once that has ended.
 type recordingServer struct {
 	*testServer
-	breaks   atomic.Bool // a connection, after its first line
-	received chan string
+	resetsAfterFirstLine atomic.Bool // reset each connection after its first line
+	received             chan string
 }
 
 func newRecordingServer(t *testing.T, id string) *recordingServer {
-	e := &recordingServer{testServer: &testServer{id: id}, received: make(chan string, 100)}
-	e.addr = serveConns(t, func(w *testConn) {
-		line, _ := w.in.ReadString('\n')
-		if e.breaks.Load() { // it may be told so until it has the line
-			w.reset()
+	srv := &recordingServer{testServer: &testServer{id: id}, received: make(chan string, 100)}
+	srv.addr = serveConns(t, func(conn *testConn) {
+		line, _ := conn.reader.ReadString('\n')
+		if srv.resetsAfterFirstLine.Load() { // checked after the first line, so that a test can set it until then
+			conn.reset()
 		}
-		rest, _ := io.ReadAll(w.in)
-		e.received <- line + string(rest)
+		rest, _ := io.ReadAll(conn.reader)
+		srv.received <- line + string(rest)
 	})
-	return e
+	return srv
 }
 
-// expectNothing checks that a connection came, and nothing over it.
-func (e *recordingServer) expectNothing(t *testing.T) {
+// expectNothing checks that a connection was opened and closed without data.
+func (srv *recordingServer) expectNothing(t *testing.T) {
 	t.Helper()
 	select {
-	case all := <-e.received:
+	case all := <-srv.received:
 		if all != "" {
-			t.Errorf("%s got %q", e.id, all)
+			t.Errorf("%s got %q", srv.id, all)
 		}
 	case <-time.After(testTimeout):
-		t.Errorf("no connection to %s has ended", e.id)
+		t.Errorf("no connection to %s has ended", srv.id)
 	}
 }
 
-// testServer is a stand-in for a server; conns gives the connections that are no probes, with their first lines.
+// testServer is a server that answers health checks and passes all other connections, with their first lines, to the
+// test.
 type testServer struct {
 	id, addr   string
 	conns      chan *testConn
 	firstLines chan string
 	load       string
-	busy       sync.WaitGroup // with connections whose first line has not come
+	handlers   sync.WaitGroup // of connections that wait for their first line
 }
 
+// newTestServer starts a server.
 func newTestServer(t *testing.T, id string) *testServer {
-	h := &testServer{id: id, conns: make(chan *testConn, 100), firstLines: make(chan string, 100), load: "0.1"}
-	h.addr = acceptConns(t, func(w *testConn) { h.busy.Go(func() { h.serve(w) }) })
-	return h
+	srv := &testServer{id: id, conns: make(chan *testConn, 100), firstLines: make(chan string, 100), load: "0.1"}
+	srv.addr = acceptConns(t, func(conn *testConn) { srv.handlers.Go(func() { srv.serve(conn) }) })
+	return srv
 }
 
-// serveConns serves each connection to an address.
+// serveConns listens on a new address and serves each connection in its own goroutine.
 func serveConns(t *testing.T, serve func(*testConn)) (addr string) {
-	return acceptConns(t, func(w *testConn) { go serve(w) })
+	return acceptConns(t, func(conn *testConn) { go serve(conn) })
 }
 
-// acceptConns takes the connections to an address, one after the other.
-func acceptConns(t *testing.T, take func(*testConn)) (addr string) {
+// acceptConns listens on a new address and handles its connections one after the other.
+func acceptConns(t *testing.T, handle func(*testConn)) (addr string) {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			take(newTestConn(t, c))
+			handle(newTestConn(t, conn))
 		}
 	}()
-	return l.Addr().String()
+	return listener.Addr().String()
 }
 
-func (h *testServer) serve(w *testConn) {
+// serve answers health checks until a connection sends another first line, and then passes it to the test.
+func (srv *testServer) serve(conn *testConn) {
 	for {
-		line, err := w.in.ReadString('\n')
+		line, err := conn.reader.ReadString('\n')
 		if err != nil {
 			return
 		}
 		if line != "STATS\r\n" {
-			h.firstLines <- line
-			h.conns <- w
+			srv.firstLines <- line
+			srv.conns <- conn
 			return
 		}
-		fmt.Fprintf(w, "PONG eps=0,x0=%s\r\n", h.load)
+		fmt.Fprintf(conn, "PONG eps=0,x0=%s\r\n", srv.load)
 	}
 }
 
-// next waits for a connection from the node.
-func (h *testServer) accept(t *testing.T) (w *testConn, first string) {
+// accept waits for a connection from the node that is not a health check, and returns it with its first line.
+func (srv *testServer) accept(t *testing.T) (conn *testConn, first string) {
 	t.Helper()
 	select {
-	case w = <-h.conns:
-		return w, <-h.firstLines
+	case conn = <-srv.conns:
+		return conn, <-srv.firstLines
 	case <-time.After(testTimeout):
-		t.Fatal("no connection came to host " + h.id)
+		t.Fatal("no connection to server " + srv.id)
 		return nil, ""
 	}
 }
 
-// countUnaccepted counts the first lines that the host has and nobody has asked next for, when the node sends nothing
-// more. No probe's connection may be kept.
-func (h *testServer) countUnaccepted(t *testing.T) (n int) {
+// countUnaccepted returns the number of connections that the test has not accepted. The node must not send anything
+// more, and must not keep connections of health checks open.
+func (srv *testServer) countUnaccepted(t *testing.T) (count int) {
 	t.Helper()
-	c, err := net.Dial("tcp", h.addr) // comes behind all others
+	conn, err := net.Dial("tcp", srv.addr) // accepted after all others
 	if err != nil {
 		t.Fatal(err)
 	}
-	io.WriteString(c, "LAST\r\n")
-	for last := false; !last; n++ {
-		_, first := h.accept(t)
-		last = first == "LAST\r\n"
+	io.WriteString(conn, "LAST\r\n")
+	for isLast := false; !isLast; count++ {
+		_, first := srv.accept(t)
+		isLast = first == "LAST\r\n"
 	}
-	h.busy.Wait()
-	return n - 1 + len(h.conns)
+	srv.handlers.Wait()
+	return count - 1 + len(srv.conns)
 }
 
-func (h *testServer) endpoint(state string) discovery.Endpoint {
-	return discovery.Endpoint{ID: settings.HashServerID(h.id), Addr: h.addr, Zone: "a", State: state, Weight: 1}
+// endpoint returns the entry of the server in the endpoint list.
+func (srv *testServer) endpoint(state string) discovery.Endpoint {
+	return discovery.Endpoint{ID: settings.HashServerID(srv.id), Addr: srv.addr, Zone: "a", State: state, Weight: 1}
 }
 
-// endpointJSON is entry in discovery's form.
-func (h *testServer) endpointJSON(state string) string {
-	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"a","state":%q,"weight":1,"started_ms":0}`, h.id, h.addr, state)
+// endpointJSON returns the entry in the format of the discovery service.
+func (srv *testServer) endpointJSON(state string) string {
+	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"a","state":%q,"weight":1,"started_ms":0}`, srv.id, srv.addr, state)
 }
 
-// refusingAddr gives an address that refuses connections for as long as the test runs: taken, so that no other
-// program gets it meanwhile, but not listened on.
+// refusingAddr returns an address that refuses connections while the test runs. It is bound, so that no other program
+// can get it, but nothing listens on it.
 func refusingAddr(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -152,25 +156,25 @@
 	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
 	}
-	at, err := syscall.Getsockname(fd)
+	addr, err := syscall.Getsockname(fd)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port)
+	return fmt.Sprintf("127.0.0.1:%d", addr.(*syscall.SockaddrInet4).Port)
 }
 
-// acceptAll has a host answer every request, and counts them.
-func acceptAll(t *testing.T, h *testServer) (count *atomic.Int64) {
+// acceptAll makes a server accept every request, and counts them.
+func acceptAll(t *testing.T, srv *testServer) (count *atomic.Int64) {
 	count = &atomic.Int64{}
 	ended := make(chan struct{})
 	t.Cleanup(func() { close(ended) })
 	go func() {
 		for {
 			select {
-			case w := <-h.conns:
-				<-h.firstLines
+			case conn := <-srv.conns:
+				<-srv.firstLines
 				count.Add(1)
-				fmt.Fprint(w, "UP r\r\n")
+				fmt.Fprint(conn, "UP r\r\n")
 			case <-ended:
 				return
 			}
@@ -179,8 +183,8 @@
 	return count
 }
 
-// endpointJSONSince is entryJSON with a start.
-func (h *testServer) endpointJSONSince(state string, started time.Time) string {
-	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"a","state":%q,"weight":1,"started_ms":%d}`, h.id, h.addr,
+// endpointJSONSince is like endpointJSON with a start time.
+func (srv *testServer) endpointJSONSince(state string, started time.Time) string {
+	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"a","state":%q,"weight":1,"started_ms":%d}`, srv.id, srv.addr,
 		state, started.UnixMilli())
 }
