--- a/node/clock.go
+++ b/node/clock.go
@@ -74,6 +74,6 @@
 		l.log.Warn("clock may be ahead", zap.Duration("lead", lead), zap.Bool("observed_at_discovery", observed))
 	}
 	l.clockLead, l.clockLeadObserved = max(l.clockLead, lead), l.clockLeadObserved || observed
-	l.handle(balance.ClockOffset{Ahead: l.clockLead, ReferenceSeen: l.clockLeadObserved})
-	l.control.UpdateLimits()
+	l.handle(balance.ClockOffset{Ahead: l.clockLead, ReferenceRead: l.clockLeadObserved})
+	l.control.UpdateSlowStartLimits()
 }
--- a/node/control.go
+++ b/node/control.go
@@ -32,18 +32,18 @@
 	dialTimeout := settings.Microseconds(c.Settings.Limits.DialTimeoutMicros)
 	return control.Config{
 		Settings: *balanceConfig, Incarnation: incarnation, Epoch: epoch,
-		Limits: c.Budgets.limits(), Guaranteed: c.Budgets.GuaranteedShare,
-		ControlGuaranteed:   c.Budgets.ControlGuaranteedShare,
-		LeaseTerm:           milliseconds(c.Budgets.LeaseTermMS),
-		ChildLeaseTerm:      milliseconds(c.Budgets.ChildLeaseTermMS),
-		ConnectionLeaseTerm: milliseconds(c.Budgets.OpenLeaseMS),
-		HeartbeatInterval:   milliseconds(c.Budgets.HeartbeatMS),
-		MaxClockDrift:       float64(c.Budgets.MaxClockDriftPPM) / 1e6,
-		ConnectTimeout:      dialTimeout, ListConnectTimeout: dialTimeout * listDialFactor,
+		Limits: c.Budgets.limits(), GuaranteedFraction: c.Budgets.GuaranteedShare,
+		ControlGuaranteedFraction: c.Budgets.ControlGuaranteedShare,
+		LeaseTerm:                 milliseconds(c.Budgets.LeaseTermMS),
+		ChildLeaseTerm:            milliseconds(c.Budgets.ChildLeaseTermMS),
+		ConnectionLeaseTerm:       milliseconds(c.Budgets.OpenLeaseMS),
+		HeartbeatInterval:         milliseconds(c.Budgets.HeartbeatMS),
+		MaxClockDrift:             float64(c.Budgets.MaxClockDriftPPM) / 1e6,
+		ConnectTimeout:            dialTimeout, ListConnectTimeout: dialTimeout * listDialFactor,
 		ConnectionCloseDelay: milliseconds(c.Timeouts.CloseMS),
 		Listen:               c.Peers.Listen, Peers: c.Peers.NodeAddrs, Parents: c.Peers.ControlAddrs,
-		ChildListen: c.Peers.ChildListen, ControlIndex: c.Peers.ControlIndex, Children: max(c.Settings.NodeCount, 1),
-		Inherited: c.ListenFD != 0, Link: c.TestOptions.PeerLink,
+		ChildListen: c.Peers.ChildListen, ControlIndex: c.Peers.ControlIndex, MaxChildren: max(c.Settings.NodeCount, 1),
+		RetryListen: c.ListenFD != 0, SimulateLink: c.TestOptions.PeerLink,
 	}
 }
 
@@ -117,7 +117,7 @@
 // queue of the event loop is full, and must not be called from done.
 func (n *Node) Acquire(limit string, subject uint64, wait time.Duration, done func(ok bool)) error {
 	manager := n.loop.control
-	kind, err := manager.RateLimit(limit)
+	kind, err := manager.RateLimitKind(limit)
 	if err != nil {
 		return err
 	}
--- a/node/control_tree_test.go
+++ b/node/control_tree_test.go
@@ -52,7 +52,8 @@
 // checkControlConfig compares a configuration with the one that the tests of internal/control use.
 func checkControlConfig(t *testing.T, process int, cfg control.Config) {
 	t.Helper()
-	if cfg.Guaranteed != 0.5 || cfg.ControlGuaranteed != 0.5 || cfg.MaxClockDrift != 0.001 || cfg.Children != 6 {
+	if cfg.GuaranteedFraction != 0.5 || cfg.ControlGuaranteedFraction != 0.5 || cfg.MaxClockDrift != 0.001 ||
+		cfg.MaxChildren != 6 {
 		t.Errorf("process %d: %+v", process, cfg)
 	}
 	if cfg.LeaseTerm != time.Second || cfg.ChildLeaseTerm != 250*time.Millisecond ||
--- a/node/endpoints.go
+++ b/node/endpoints.go
@@ -66,7 +66,7 @@
 	}
 	l.updateServers(list)
 	l.handle(list.EndpointUpdate(kind))
-	l.control.UpdateLimits()
+	l.control.UpdateSlowStartLimits()
 	l.cancelStaleAttempts()
 	for _, server := range list.Servers {
 		if server.State == serverDraining {
--- a/node/quotas_test.go
+++ b/node/quotas_test.go
@@ -32,7 +32,7 @@
 func (p *heldPeers) connect() {
 	for i, l := range p.loops {
 		l.uptime = func() time.Duration { return p.now }
-		l.control.Connect(peerLink(func(to int, message budget.Message) {
+		l.control.SetSender(peerLink(func(to int, message budget.Message) {
 			p.messages = append(p.messages, func() { p.loops[to].control.HandlePeerMessage(i, message) })
 		}))
 	}
@@ -84,7 +84,7 @@
 			peers.now += quotaWait / 10
 			peers.deliverAll()
 			peers.deliverAll()
-			if len(n.loop.control.Waiting()) > 0 || counterValue(n.Node, refusedCounter) > 0 {
+			if len(n.loop.control.WaitingQuotas()) > 0 || counterValue(n.Node, refusedCounter) > 0 {
 				n.t.Error("requests still wait for units, or were refused")
 			}
 		})
@@ -104,7 +104,7 @@
 	n.waitFor("the request", func() bool { return n.waitingForQuotas() == 1 })
 	n.inLoop(func() {
 		quota := budget.ID{Kind: uint8(control.Connects), Subject: subject(first)}
-		if !slices.Contains(n.loop.control.Waiting(), quota) {
+		if !slices.Contains(n.loop.control.WaitingQuotas(), quota) {
 			first, other = other, first
 		}
 	})
@@ -124,6 +124,6 @@
 
 // waitingForQuotas returns the number of requests that wait for units of quotas.
 func (n *testNode) waitingForQuotas() (count int) {
-	n.inLoop(func() { count = len(n.loop.control.Waiting()) })
+	n.inLoop(func() { count = len(n.loop.control.WaitingQuotas()) })
 	return count
 }
