--- a/node/dialgate_test.go
+++ b/node/dialgate_test.go
@@ -18,7 +18,7 @@
 
 // dial connects to a server and returns the connection once it is released.
 func (gate *dialGate) dial(_ context.Context, addr string) (net.Conn, error) {
-	conn, err := net.Dial("tcp", addr) // ignores the context: a canceled connect may succeed too
+	conn, err := net.Dial("tcp", addr) // ignores the context: a cancelled connect may succeed too
 	if err != nil {
 		return nil, err
 	}
--- a/node/leaving_test.go
+++ b/node/leaving_test.go
@@ -205,7 +205,7 @@
 	}
 	return func() {
 		for _, serverConn := range servers {
-			serverConn.expectEnd(io.EOF) // the attempt is canceled
+			serverConn.expectEnd(io.EOF) // the attempt is cancelled
 		}
 	}
 }
--- a/node/node.go
+++ b/node/node.go
@@ -39,7 +39,7 @@
 	frontend      *frontend.Server
 	admin         *admin.Server   // nil without an admin address
 	adminListener net.Listener    // nil without an admin address
-	ctx           context.Context // canceled when the shutdown is complete
+	ctx           context.Context // cancelled when the shutdown is complete
 	cancel        context.CancelFunc
 }
 
