--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -30,7 +30,7 @@
 // Client connects to servers. Its methods may be called from any goroutine.
 type Client struct {
 	cfg           Config
-	sink          exchange.Sink
+	sink          exchange.Observer
 	onHealthCheck func(balance.HealthCheckResult)
 	mu            sync.Mutex // guards checkers, and sending to them; not held over I/O
 	checkers      map[balance.ServerID]*checker
@@ -48,7 +48,7 @@
 
 // New returns a client. sink receives the ends of attempts, and onHealthCheck the results of health checks; both are
 // called from many goroutines.
-func New(cfg Config, sink exchange.Sink, onHealthCheck func(balance.HealthCheckResult)) *Client {
+func New(cfg Config, sink exchange.Observer, onHealthCheck func(balance.HealthCheckResult)) *Client {
 	if cfg.Connect == nil {
 		d := net.Dialer{Timeout: cfg.DialTimeout, LocalAddr: cfg.LocalAddr}
 		cfg.Connect = func(ctx context.Context, addr string) (net.Conn, error) {
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -20,15 +20,15 @@
 )
 
 // Sink receives what happens to exchanges. It is called from many goroutines.
-type Sink interface {
+type Observer interface {
 	// Left is called when the client has left before its answer.
-	Left(x *Exchange)
+	ClientLeft(x *Exchange)
 	// Accepted is called when a server has accepted the request, took after the attempt began.
-	Accepted(x *Exchange, a Attempt, took time.Duration)
+	AttemptAccepted(x *Exchange, a Attempt, took time.Duration)
 	// Closed is called when an attempt, or the connection that it became, has ended.
-	Closed(x *Exchange, a Attempt, outcome balance.Outcome, took time.Duration, report *balance.LoadReport)
+	AttemptEnded(x *Exchange, a Attempt, outcome balance.Outcome, took time.Duration, report *balance.LoadReport)
 	// Message is called when a server has responded to a message after took, or has not responded for that long.
-	Message(x *Exchange, server balance.ServerID, took time.Duration)
+	ResponseTime(x *Exchange, server balance.ServerID, took time.Duration)
 }
 
 // Reason tells why a connection ended; it is the code in its log line.
@@ -53,9 +53,9 @@
 
 // Limits are the time limits of an exchange.
 type Limits struct {
-	Silence      time.Duration // without a response to a message
-	LateNotice   time.Duration // between two reports of a message without a response
-	CloseTimeout time.Duration // for an ended connection to close, and for a line to a side that does not read
+	ResponseTimeout    time.Duration // without a response to a message
+	LateReportInterval time.Duration // between two reports of a message without a response
+	CloseTimeout       time.Duration // for an ended connection to close, and for a line to a side that does not read
 }
 
 // ClassCounters count what became of the requests of one class.
@@ -77,13 +77,13 @@
 	Deadline time.Time // for the answer
 
 	// The caller keeps these, on a goroutine of its own.
-	Attempts   int       // started
-	HasAttempt bool      // one is out
-	FirstRunAt time.Time // start of the first attempt that may have run; the zero time for none
+	AttemptCount     int       // started
+	HasActiveAttempt bool      // one is out
+	FirstRunAt       time.Time // start of the first attempt that may have run; the zero time for none
 
 	client   *lines.Conn
 	counters *ClassCounters
-	sink     Sink
+	sink     Observer
 	limits   Limits
 	log      *zap.Logger
 	begun    time.Time
@@ -110,10 +110,10 @@
 }
 
 // New returns an exchange for a first line that has just been read, of a class with these counters.
-func New(head *Head, client *lines.Conn, counters *ClassCounters, sink Sink, limits Limits,
+func New(head *Head, client *lines.Conn, counters *ClassCounters, sink Observer, limits Limits,
 	log *zap.Logger) *Exchange {
 	now := time.Now()
-	return &Exchange{Head: head, Deadline: now.Add(head.Wait), client: client, counters: counters, sink: sink,
+	return &Exchange{Head: head, Deadline: now.Add(head.Timeout), client: client, counters: counters, sink: sink,
 		limits: limits, log: log, begun: now, state: stateUnsent, answered: make(chan struct{}),
 		ended: make(chan struct{})}
 }
--- a/internal/frontend/handshake.go
+++ b/internal/frontend/handshake.go
@@ -38,7 +38,7 @@
 }
 
 // LimitHandshakes sets an upper limit on the time of the handshakes, both those begun and those to come.
-func (s *Server) LimitHandshakes(within time.Duration) {
+func (s *Server) LimitHandshakeTime(within time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.firstLineTimeout = min(s.firstLineTimeout, within)
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -53,7 +53,7 @@
 type Server struct {
 	cfg            Config
 	log            *zap.Logger
-	sink           exchange.Sink
+	sink           exchange.Observer
 	onRequest      func(*exchange.Exchange)
 	requestSlots   chan struct{} // holds an element for each request
 	handshakeSlots chan struct{} // and one for each connection without a request
@@ -69,7 +69,7 @@
 
 // New returns a server. onRequest is called on a goroutine of its own for each request; sink receives what happens to
 // it.
-func New(cfg Config, log *zap.Logger, sink exchange.Sink, onRequest func(*exchange.Exchange)) *Server {
+func New(cfg Config, log *zap.Logger, sink exchange.Observer, onRequest func(*exchange.Exchange)) *Server {
 	return &Server{
 		cfg:              cfg,
 		log:              log,
@@ -116,7 +116,7 @@
 // Inherit continues a connection that another process has handed over; run is called with its exchange before anything
 // is read. It returns false where no slot is free, or where this process would not accept the request.
 func (s *Server) Inherit(st *exchange.OpenConnection, client, server *net.TCPConn, run func(*exchange.Exchange)) bool {
-	head, err := exchange.ParseHead(st.Head)
+	head, err := exchange.ParseHead(st.FirstLine)
 	if err != nil {
 		return false
 	}
--- a/node/attempts.go
+++ b/node/attempts.go
@@ -16,14 +16,14 @@
 	}
 	server := l.servers[action.Server]
 	attempt := exchange.Attempt{
-		Number:                request.Attempts,
+		Number:                request.AttemptCount,
 		Server:                action.Server,
 		Addr:                  server.Addr,
 		ServerStartedAtMillis: server.StartedAtMillis,
 	}
-	request.Attempts++
+	request.AttemptCount++
 	// Closed runs in a goroutine of its own: it posts to the loop, which would wait for itself while its queue is full.
-	endAttempt := func(outcome balance.Outcome) { go l.Closed(request, attempt, outcome, 0, nil) }
+	endAttempt := func(outcome balance.Outcome) { go l.AttemptEnded(request, attempt, outcome, 0, nil) }
 	if !l.invariants.allowAttempt(request, attempt, server.State) {
 		endAttempt(balance.Abandoned)
 		return
@@ -36,7 +36,7 @@
 	}
 	decidedAt := time.Now()
 	if action.SendWithin > 0 {
-		attempt.LimitSendBy(decidedAt.Add(action.SendWithin))
+		attempt.LimitSendDeadline(decidedAt.Add(action.SendWithin))
 	}
 	l.control.Acquire(control.Connects, uint64(action.Server), quotaWait, func(ok bool) {
 		if !ok {
@@ -47,9 +47,9 @@
 			return
 		}
 		if deadline := l.control.AttemptDeadline(action.Server, isRetry, decidedAt); !deadline.IsZero() {
-			attempt.LimitSendBy(deadline)
+			attempt.LimitSendDeadline(deadline)
 		}
-		l.backend.Attempt(request, attempt, action.Timeout)
+		l.backend.StartAttempt(request, attempt, action.Timeout)
 	})
 }
 
--- a/node/handover_test.go
+++ b/node/handover_test.go
@@ -432,7 +432,7 @@
 	other := newTestServer(t, "s-2")
 	toClient, _ := net.Dial("tcp", srv.addr)
 	toServer, _ := net.Dial("tcp", other.addr)
-	connection := &exchange.OpenConnection{Head: []byte("OPEN i k c=chat,d=1000\r\n"),
+	connection := &exchange.OpenConnection{FirstLine: []byte("OPEN i k c=chat,d=1000\r\n"),
 		Server: balance.ServerID(other.endpoint("up").ID), Addr: other.addr}
 	if err := link.Send(upgrade.Message{Kind: upgrade.KindConnection, Connection: connection}, testTimeout,
 		toClient.(*net.TCPConn), toServer.(*net.TCPConn)); err != nil {
--- a/node/invariants.go
+++ b/node/invariants.go
@@ -44,7 +44,7 @@
 			zap.String("server", attempt.Addr), zap.String("state", state))
 		return false
 	}
-	request.HasAttempt = true
+	request.HasActiveAttempt = true
 	return true
 }
 
@@ -53,7 +53,7 @@
 	class := v.classes[string(request.Head.Class)]
 	mayHaveRun := !request.FirstRunAt.IsZero()
 	switch {
-	case request.HasAttempt:
+	case request.HasActiveAttempt:
 		return noConcurrentAttempt, true
 	case mayHaveRun && class.Idempotency == balance.NonIdempotent:
 		return noUnsafeRetry, true
@@ -67,7 +67,7 @@
 
 // attemptEnded records the outcome of an attempt, elapsed after it began.
 func (v *invariants) attemptEnded(request *exchange.Exchange, outcome balance.Outcome, elapsed time.Duration) {
-	request.HasAttempt = false
+	request.HasActiveAttempt = false
 	if request.FirstRunAt.IsZero() && !outcome.NotExecuted() {
 		request.FirstRunAt = time.Now().Add(-elapsed)
 	}
--- a/node/leaving_test.go
+++ b/node/leaving_test.go
@@ -106,7 +106,7 @@
 	p.open("")
 	p.n.waitFor("the requests", func() bool { return p.n.frontend.Counters.Requests.Load() == clientCount })
 	p.disconnectsSeen = func() bool {
-		return strings.Count(allStacks(), "exchange.(*Exchange).endClient(") == clientCount
+		return strings.Count(allStacks(), "exchange.(*Exchange).handleClientEnd(") == clientCount
 	}
 	return func() { close(unblock) }
 }
--- a/node/node.go
+++ b/node/node.go
@@ -125,9 +125,9 @@
 		ClassCounters:    func(name []byte) *exchange.ClassCounters { return n.loop.classCounters[string(name)] },
 		IsInService:      n.lifecycle.acceptsClients,
 		ExchangeLimits: exchange.Limits{
-			Silence:      milliseconds(timeouts.ResponseSilenceMS),
-			LateNotice:   milliseconds(timeouts.LateNoticeMS),
-			CloseTimeout: milliseconds(timeouts.CloseMS),
+			ResponseTimeout:    milliseconds(timeouts.ResponseSilenceMS),
+			LateReportInterval: milliseconds(timeouts.LateNoticeMS),
+			CloseTimeout:       milliseconds(timeouts.CloseMS),
 		},
 	}
 }
--- a/node/reconnect.go
+++ b/node/reconnect.go
@@ -32,8 +32,8 @@
 			return
 		}
 		attempt := exchange.Attempt{Server: id, Addr: addr, ServerStartedAtMillis: l.servers[id].StartedAtMillis,
-			SendBy: l.control.SendDeadline(control.Connects)}
-		l.backend.Attempt(request, attempt, 0)
+			SendDeadline: l.control.SendDeadline(control.Connects)}
+		l.backend.StartAttempt(request, attempt, 0)
 	})
 	l.control.SendRequests()
 }
--- a/node/requests.go
+++ b/node/requests.go
@@ -129,8 +129,8 @@
 	l.handle(balance.ClientDisconnected{ID: request.ID})
 }
 
-// Left is part of exchange.Sink.
-func (l *loop) Left(request *exchange.Exchange) {
+// ClientLeft is part of exchange.Observer.
+func (l *loop) ClientLeft(request *exchange.Exchange) {
 	l.post(func() {
 		l.counters.disconnected.Add(1)
 		if request.ID == 0 { // not registered
@@ -145,7 +145,7 @@
 }
 
 // Accepted is part of exchange.Sink.
-func (l *loop) Accepted(request *exchange.Exchange, attempt exchange.Attempt, elapsed time.Duration) {
+func (l *loop) AttemptAccepted(request *exchange.Exchange, attempt exchange.Attempt, elapsed time.Duration) {
 	l.post(func() {
 		l.counters.served.Add(1)
 		if len(request.Head.PreviousServer) > 0 {
@@ -161,7 +161,7 @@
 }
 
 // Closed is part of exchange.Sink.
-func (l *loop) Closed(request *exchange.Exchange, attempt exchange.Attempt, outcome balance.Outcome,
+func (l *loop) AttemptEnded(request *exchange.Exchange, attempt exchange.Attempt, outcome balance.Outcome,
 	elapsed time.Duration, report *balance.LoadReport) {
 	l.post(func() {
 		l.invariants.attemptEnded(request, outcome, elapsed)
@@ -178,7 +178,7 @@
 }
 
 // Message is part of exchange.Sink. It drops the measurement if the event queue is full.
-func (l *loop) Message(request *exchange.Exchange, server balance.ServerID, elapsed time.Duration) {
+func (l *loop) ResponseTime(request *exchange.Exchange, server balance.ServerID, elapsed time.Duration) {
 	select {
 	case l.events <- func() { l.onMessageTime(request.ID, server, elapsed) }:
 	default:
--- a/node/shutdown.go
+++ b/node/shutdown.go
@@ -61,12 +61,12 @@
 func (s *shutdown) stopAccepting() {
 	n, timeouts := s.node, s.node.cfg.Timeouts
 	if n.inheritsListener() {
-		n.frontend.LimitHandshakes(time.Until(s.answerDeadline))
+		n.frontend.LimitHandshakeTime(time.Until(s.answerDeadline))
 		n.listener.Close()
 		return
 	}
 	time.Sleep(milliseconds(timeouts.AcceptAfterStopMS))
-	n.frontend.LimitHandshakes(min(milliseconds(timeouts.CloseMS), time.Until(s.answerDeadline)))
+	n.frontend.LimitHandshakeTime(min(milliseconds(timeouts.CloseMS), time.Until(s.answerDeadline)))
 	n.frontend.AcceptRemaining(n.listener)
 }
 
