--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -12,10 +12,10 @@
 	"brassmux/internal/lines"
 )
 
-// Attempt starts an attempt and returns at once. The attempt has a goroutine of its own, which relays the server's
-// lines once it has accepted the request; its end is reported to the sink. It ends with the exchange's deadline, or
+// StartAttempt starts an attempt and returns at once. The attempt has a goroutine of its own, which relays the server's
+// lines once it has accepted the request; its end is reported to the observer. It ends with the exchange's deadline, or
 // after a timeout that is not 0.
-func (c *Client) Attempt(x *exchange.Exchange, a exchange.Attempt, timeout time.Duration) {
+func (c *Client) StartAttempt(x *exchange.Exchange, a exchange.Attempt, timeout time.Duration) {
 	deadline := x.Deadline
 	if timeout > 0 && time.Until(deadline) > timeout {
 		deadline = time.Now().Add(timeout)
@@ -25,7 +25,7 @@
 	// An attempt without time left is abandoned here: a timeout would count against the server.
 	if !deadline.After(begun) || !x.StartAttempt(a, cancel) {
 		cancel()
-		go c.sink.Closed(x, a, balance.Abandoned, 0, nil)
+		go c.observer.AttemptEnded(x, a, balance.Abandoned, 0, nil)
 		return
 	}
 	c.Counters.Attempts.Add(1)
@@ -34,7 +34,7 @@
 		if result := c.attempt(ctx, x, a, deadline); !result.accepted {
 			c.Counters.Outcomes[result.outcome].Add(1)
 			x.EndAttempt()
-			c.sink.Closed(x, a, result.outcome, time.Since(begun), result.report)
+			c.observer.AttemptEnded(x, a, result.outcome, time.Since(begun), result.report)
 		}
 	}()
 }
@@ -88,7 +88,7 @@
 	if !x.StartSending() {
 		return balance.NotSent, false
 	}
-	head := x.Head.WithWait(time.Until(deadline))
+	head := x.Head.WithTimeout(time.Until(deadline))
 	if _, err := head.WriteTo(conn.TCPConn); err != nil && len(head) > 0 { // WriteTo removes what it has written
 		return unsentOutcome(ctx), false
 	}
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -30,7 +30,7 @@
 // Client connects to servers. Its methods may be called from any goroutine.
 type Client struct {
 	cfg           Config
-	sink          exchange.Sink
+	observer      exchange.Observer
 	onHealthCheck func(balance.HealthCheckResult)
 	mu            sync.Mutex // guards checkers, and sending to them; not held over I/O
 	checkers      map[balance.ServerID]*checker
@@ -46,15 +46,15 @@
 	Outcomes       [9]atomic.Int64 // of attempts that the server did not accept, by balance.Outcome
 }
 
-// New returns a client. sink receives the ends of attempts, and onHealthCheck the results of health checks; both are
-// called from many goroutines.
-func New(cfg Config, sink exchange.Sink, onHealthCheck func(balance.HealthCheckResult)) *Client {
+// New returns a client. observer is notified of the ends of attempts, and onHealthCheck is called with the results of
+// health checks; both are called from many goroutines.
+func New(cfg Config, observer exchange.Observer, onHealthCheck func(balance.HealthCheckResult)) *Client {
 	if cfg.Connect == nil {
 		d := net.Dialer{Timeout: cfg.DialTimeout, LocalAddr: cfg.LocalAddr}
 		cfg.Connect = func(ctx context.Context, addr string) (net.Conn, error) {
 			return d.DialContext(ctx, "tcp", addr)
 		}
 	}
-	return &Client{cfg: cfg, sink: sink, onHealthCheck: onHealthCheck, checkers: map[balance.ServerID]*checker{},
-		pool: pool{free: max(cfg.MaxHealthCheckConns, 1)}}
+	return &Client{cfg: cfg, observer: observer, onHealthCheck: onHealthCheck,
+		checkers: map[balance.ServerID]*checker{}, pool: pool{free: max(cfg.MaxHealthCheckConns, 1)}}
 }
--- a/internal/exchange/attempt.go
+++ b/internal/exchange/attempt.go
@@ -15,13 +15,13 @@
 	Server                balance.ServerID
 	Addr                  string    // of the server
 	ServerStartedAtMillis int64     // as the list of servers gave it
-	SendBy                time.Time // the first line is sent by then or not at all; the zero time for no limit
+	SendDeadline          time.Time // the first line is sent by then or not at all; the zero time for no limit
 }
 
-// LimitSendBy sets SendBy, where it is not earlier already.
-func (a *Attempt) LimitSendBy(by time.Time) {
-	if a.SendBy.IsZero() || by.Before(a.SendBy) {
-		a.SendBy = by
+// LimitSendDeadline sets SendDeadline, unless it is earlier already.
+func (a *Attempt) LimitSendDeadline(by time.Time) {
+	if a.SendDeadline.IsZero() || by.Before(a.SendDeadline) {
+		a.SendDeadline = by
 	}
 }
 
@@ -53,7 +53,7 @@
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if by := x.attempt.SendBy; !by.IsZero() && time.Now().After(by) {
+	if by := x.attempt.SendDeadline; !by.IsZero() && time.Now().After(by) {
 		return false
 	}
 	return x.apply(eventSendingStarted)
@@ -91,7 +91,7 @@
 		x.client.SetWriteDeadline(time.Time{})
 	}
 	x.mu.Unlock()
-	x.sink.Accepted(x, x.attempt, x.acceptedAt.Sub(x.attemptBegun))
+	x.observer.AttemptAccepted(x, x.attempt, x.acceptedAt.Sub(x.attemptBegun))
 	x.sendEarlyLines(server)
 	close(x.answered)
 	if err == nil {
--- a/internal/exchange/client.go
+++ b/internal/exchange/client.go
@@ -27,7 +27,7 @@
 			line, err = x.client.TakeBuffered(), nil
 		}
 		if err != nil || drained > MaxDrainBytes {
-			x.endClient(err)
+			x.handleClientEnd(err)
 			return
 		}
 		if !x.keepEarlyLine(line) && !x.sendToServer(line) {
@@ -65,7 +65,7 @@
 		x.pending = append(x.pending, time.Now())
 	}
 	if len(x.pending) == 1 && !now.move && x.handOver == nil {
-		server.SetReadDeadline(x.pending[0].Add(x.limits.LateNotice))
+		server.SetReadDeadline(x.pending[0].Add(x.limits.LateReportInterval))
 	}
 	x.mu.Unlock()
 	if _, err := server.Write(line); err == nil { // else the server's goroutine ends the exchange
@@ -93,7 +93,7 @@
 // answer. It returns whether that is not a server's.
 func (x *Exchange) rejectEarlyLines() bool {
 	if x.Answer(WroteEarly, "ERR too much before the answer") {
-		x.sink.Left(x)
+		x.observer.ClientLeft(x)
 	}
 	<-x.answered
 	x.mu.Lock()
@@ -109,13 +109,13 @@
 		if cancel != nil {
 			cancel()
 		}
-		x.sink.Left(x)
+		x.observer.ClientLeft(x)
 	}
 	return first
 }
 
-// endClient ends the server's side the way the client's has ended.
-func (x *Exchange) endClient(err error) {
+// handleClientEnd ends the server's side the way the client's has ended.
+func (x *Exchange) handleClientEnd(err error) {
 	if x.leave() {
 		return
 	}
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -19,16 +19,19 @@
 	"brassmux/internal/lines"
 )
 
-// Sink receives what happens to exchanges. It is called from many goroutines.
-type Sink interface {
-	// Left is called when the client has left before its answer.
-	Left(x *Exchange)
-	// Accepted is called when a server has accepted the request, took after the attempt began.
-	Accepted(x *Exchange, a Attempt, took time.Duration)
-	// Closed is called when an attempt, or the connection that it became, has ended.
-	Closed(x *Exchange, a Attempt, outcome balance.Outcome, took time.Duration, report *balance.LoadReport)
-	// Message is called when a server has responded to a message after took, or has not responded for that long.
-	Message(x *Exchange, server balance.ServerID, took time.Duration)
+// Observer is notified of the events of exchanges. Its methods are called from many goroutines.
+type Observer interface {
+	// ClientLeft is called when the client has disconnected before its final answer.
+	ClientLeft(x *Exchange)
+	// AttemptAccepted is called when a server has accepted the request. elapsed is the time since the start of the
+	// attempt.
+	AttemptAccepted(x *Exchange, a Attempt, elapsed time.Duration)
+	// AttemptEnded is called when an attempt has ended, or the connection of an accepted attempt. report is nil for
+	// none.
+	AttemptEnded(x *Exchange, a Attempt, outcome balance.Outcome, elapsed time.Duration, report *balance.LoadReport)
+	// ResponseTime is called with the time that a server took to respond to a message, and repeatedly with the age of a
+	// message that is still without a response.
+	ResponseTime(x *Exchange, server balance.ServerID, elapsed time.Duration)
 }
 
 // Reason tells why a connection ended; it is the code in its log line.
@@ -44,18 +47,18 @@
 	ServerEnded  Reason = "server_ended"  // BYE by the server
 	ServerMoved  Reason = "server_moved"  // MOVE by the server
 	ServerReset  Reason = "server_broke"  // closed or reset by the server without a last word
-	ServerSilent Reason = "server_silent" // no response for Limits.Silence: the client was sent MOVE
+	ServerSilent Reason = "server_silent" // no response for Limits.ResponseTimeout: the client was sent MOVE
 	Moved        Reason = "moved"         // the client was sent MOVE by a decision of the caller
 	WroteEarly   Reason = "wrote_ahead"   // the client sent more than maxEarlyBytes before its answer
 	LineTooLong  Reason = "line_too_long" // a line on the open connection was over lines.MaxLength
 	HandedOver   Reason = "handed_over"   // another process of this node continues the connection
 )
 
-// Limits are the time limits of an exchange.
+// Limits holds the time limits of an exchange.
 type Limits struct {
-	Silence      time.Duration // without a response to a message
-	LateNotice   time.Duration // between two reports of a message without a response
-	CloseTimeout time.Duration // for an ended connection to close, and for a line to a side that does not read
+	ResponseTimeout    time.Duration // without a response to a message
+	LateReportInterval time.Duration // between two reports of a message without a response
+	CloseTimeout       time.Duration // for an ended connection to close, and for a line to a side that does not read
 }
 
 // ClassCounters count what became of the requests of one class.
@@ -77,13 +80,13 @@
 	Deadline time.Time // for the answer
 
 	// The caller keeps these, on a goroutine of its own.
-	Attempts   int       // started
-	HasAttempt bool      // one is out
-	FirstRunAt time.Time // start of the first attempt that may have run; the zero time for none
+	AttemptCount     int       // started
+	HasActiveAttempt bool      // one is out
+	FirstRunAt       time.Time // start of the first attempt that may have run; the zero time for none
 
 	client   *lines.Conn
 	counters *ClassCounters
-	sink     Sink
+	observer Observer
 	limits   Limits
 	log      *zap.Logger
 	begun    time.Time
@@ -110,11 +113,11 @@
 }
 
 // New returns an exchange for a first line that has just been read, of a class with these counters.
-func New(head *Head, client *lines.Conn, counters *ClassCounters, sink Sink, limits Limits,
+func New(head *Head, client *lines.Conn, counters *ClassCounters, observer Observer, limits Limits,
 	log *zap.Logger) *Exchange {
 	now := time.Now()
-	return &Exchange{Head: head, Deadline: now.Add(head.Wait), client: client, counters: counters, sink: sink,
-		limits: limits, log: log, begun: now, state: stateUnsent, answered: make(chan struct{}),
+	return &Exchange{Head: head, Deadline: now.Add(head.Timeout), client: client, counters: counters,
+		observer: observer, limits: limits, log: log, begun: now, state: stateUnsent, answered: make(chan struct{}),
 		ended: make(chan struct{})}
 }
 
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -16,10 +16,11 @@
 
 type discardSink struct{}
 
-func (discardSink) Left(*Exchange)                                                                 {}
-func (discardSink) Accepted(*Exchange, Attempt, time.Duration)                                     {}
-func (discardSink) Closed(*Exchange, Attempt, balance.Outcome, time.Duration, *balance.LoadReport) {}
-func (discardSink) Message(*Exchange, balance.ServerID, time.Duration)                             {}
+func (discardSink) ClientLeft(*Exchange)                              {}
+func (discardSink) AttemptAccepted(*Exchange, Attempt, time.Duration) {}
+func (discardSink) AttemptEnded(*Exchange, Attempt, balance.Outcome, time.Duration, *balance.LoadReport) {
+}
+func (discardSink) ResponseTime(*Exchange, balance.ServerID, time.Duration) {}
 
 // pair returns both ends of a connection.
 func pair(t *testing.T) (near *lines.Conn, far net.Conn) {
@@ -51,7 +52,7 @@
 		}
 	}
 	client.SetWriteDeadline(time.Time{})
-	x := New(&Head{Wait: time.Minute}, client, &ClassCounters{}, discardSink{}, Limits{CloseTimeout: time.Minute},
+	x := New(&Head{Timeout: time.Minute}, client, &ClassCounters{}, discardSink{}, Limits{CloseTimeout: time.Minute},
 		zap.NewNop())
 	x.StartAttempt(Attempt{}, func() {})
 	go x.Accept(server, []byte("UP r\r\n"), func([]byte) *balance.LoadReport { return nil })
@@ -76,7 +77,7 @@
 	accepted func()
 }
 
-func (s acceptedSink) Accepted(*Exchange, Attempt, time.Duration) { s.accepted() }
+func (s acceptedSink) AttemptAccepted(*Exchange, Attempt, time.Duration) { s.accepted() }
 
 // The server's last word has come and waits to be relayed as the client is to be moved.
 func TestNothingFollowsLastWord(t *testing.T) {
@@ -98,8 +99,12 @@
 		t.Fatal(err)
 	}
 	var x *Exchange
-	limits := Limits{CloseTimeout: 100 * time.Millisecond, Silence: time.Minute, LateNotice: time.Minute}
-	x = New(&Head{Wait: time.Minute}, client, &ClassCounters{}, acceptedSink{accepted: func() {
+	limits := Limits{
+		CloseTimeout:       100 * time.Millisecond,
+		ResponseTimeout:    time.Minute,
+		LateReportInterval: time.Minute,
+	}
+	x = New(&Head{Timeout: time.Minute}, client, &ClassCounters{}, acceptedSink{accepted: func() {
 		if before {
 			x.Move()
 		}
@@ -128,7 +133,7 @@
 	count *atomic.Int64
 }
 
-func (l leftSink) Left(*Exchange) { l.count.Add(1) }
+func (l leftSink) ClientLeft(*Exchange) { l.count.Add(1) }
 
 // The client's goroutine has not read yet how its client left; nothing is sent all the same. What a client that is
 // there writes is not taken from that goroutine.
@@ -158,7 +163,7 @@
 	client, far := pair(t)
 	farClient := far.(*net.TCPConn)
 	var leftCount atomic.Int64
-	x := New(&Head{Wait: time.Minute}, client, &ClassCounters{}, leftSink{count: &leftCount},
+	x := New(&Head{Timeout: time.Minute}, client, &ClassCounters{}, leftSink{count: &leftCount},
 		Limits{CloseTimeout: time.Minute}, zap.NewNop())
 	cancelled := 0
 	x.StartAttempt(Attempt{}, func() { cancelled++ })
@@ -200,8 +205,8 @@
 	given := 0
 	for range 2000 {
 		client, far := pair(t)
-		x := New(&Head{Wait: time.Minute}, client, &ClassCounters{}, discardSink{}, Limits{CloseTimeout: time.Minute},
-			zap.NewNop())
+		x := New(&Head{Timeout: time.Minute}, client, &ClassCounters{}, discardSink{},
+			Limits{CloseTimeout: time.Minute}, zap.NewNop())
 		ended := make(chan struct{})
 		go func() {
 			x.RelayClient()
@@ -234,8 +239,10 @@
 			t.Fatal(err)
 		}
 		accepted := make(chan struct{})
-		x := New(&Head{Wait: time.Minute}, client, &ClassCounters{}, acceptedSink{accepted: func() { close(accepted) }},
-			Limits{CloseTimeout: time.Second, Silence: time.Minute, LateNotice: time.Minute}, zap.NewNop())
+		x := New(&Head{Timeout: time.Minute}, client, &ClassCounters{},
+			acceptedSink{accepted: func() { close(accepted) }},
+			Limits{CloseTimeout: time.Second, ResponseTimeout: time.Minute, LateReportInterval: time.Minute},
+			zap.NewNop())
 		x.StartAttempt(Attempt{}, func() {})
 		ended := make(chan struct{})
 		go func() {
--- a/internal/exchange/golden_test.go
+++ b/internal/exchange/golden_test.go
@@ -46,12 +46,12 @@
 			continue
 		}
 		var sent bytes.Buffer
-		buffers := h.WithWait(1500 * time.Millisecond)
+		buffers := h.WithTimeout(1500 * time.Millisecond)
 		if _, err := buffers.WriteTo(&sent); err != nil {
 			t.Fatal(err)
 		}
 		fmt.Fprintf(&got, "%q: %q %q %q %q %q %v %v sent %q\n",
-			line, h.ID, h.Key, h.Class, h.Group, h.PreviousServer, h.IsRepeat, h.Wait, sent.Bytes())
+			line, h.ID, h.Key, h.Class, h.Group, h.PreviousServer, h.IsRepeat, h.Timeout, sent.Bytes())
 	}
 	checkGolden(t, "heads.txt", got.String())
 }
--- a/internal/exchange/handover.go
+++ b/internal/exchange/handover.go
@@ -12,13 +12,13 @@
 
 // OpenConnection describes a connection between two lines to another process of the node.
 type OpenConnection struct {
-	Head       []byte           `json:"head"` // the client's first line
-	Server     balance.ServerID `json:"server"`
-	Addr       string           `json:"addr"`
-	Age        time.Duration    `json:"age"`
-	Pending    []time.Duration  `json:"out"`         // ages of the messages without a response, oldest first
-	FromClient []byte           `json:"from_client"` // read and not sent on: less than a line
-	FromServer []byte           `json:"from_server"`
+	FirstLine          []byte           `json:"head"` // the client's first line
+	Server             balance.ServerID `json:"server"`
+	Addr               string           `json:"addr"`
+	Age                time.Duration    `json:"age"`
+	PendingAges        []time.Duration  `json:"out"`         // ages of the messages without a response, oldest first
+	BufferedFromClient []byte           `json:"from_client"` // read and not sent on: less than a line
+	BufferedFromServer []byte           `json:"from_server"`
 }
 
 // handOver pauses both goroutines of an exchange between two lines until it is known who continues it.
@@ -91,26 +91,26 @@
 // describe describes the exchange while both goroutines are paused, so that nobody else reads.
 func (x *Exchange) describe() *OpenConnection {
 	now := time.Now()
-	s := &OpenConnection{Head: x.Head.line, Server: x.attempt.Server, Addr: x.attempt.Addr, Age: now.Sub(x.begun),
-		FromClient: x.client.Buffered(), FromServer: x.server.Buffered()}
+	s := &OpenConnection{FirstLine: x.Head.line, Server: x.attempt.Server, Addr: x.attempt.Addr, Age: now.Sub(x.begun),
+		BufferedFromClient: x.client.Buffered(), BufferedFromServer: x.server.Buffered()}
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, sent := range x.pending {
-		s.Pending = append(s.Pending, now.Sub(sent))
+		s.PendingAges = append(s.PendingAges, now.Sub(sent))
 	}
 	return s
 }
 
 // NewInherited returns the exchange of a connection that another process has handed over. The caller runs RelayClient
 // and RelayServer.
-func NewInherited(s *OpenConnection, head *Head, client, server *net.TCPConn, counters *ClassCounters, sink Sink,
-	limits Limits, log *zap.Logger) *Exchange {
-	x := New(head, lines.NewWithBuffered(client, s.FromClient), counters, sink, limits, log)
+func NewInherited(s *OpenConnection, head *Head, client, server *net.TCPConn, counters *ClassCounters,
+	observer Observer, limits Limits, log *zap.Logger) *Exchange {
+	x := New(head, lines.NewWithBuffered(client, s.BufferedFromClient), counters, observer, limits, log)
 	now := time.Now()
 	x.begun, x.attemptBegun, x.acceptedAt = now.Add(-s.Age), now.Add(-s.Age), now
-	x.state, x.server, x.Attempts = stateOpen, lines.NewWithBuffered(server, s.FromServer), 1
+	x.state, x.server, x.AttemptCount = stateOpen, lines.NewWithBuffered(server, s.BufferedFromServer), 1
 	x.attempt = Attempt{Server: s.Server, Addr: s.Addr}
-	for _, age := range s.Pending[:min(len(s.Pending), maxPending)] {
+	for _, age := range s.PendingAges[:min(len(s.PendingAges), maxPending)] {
 		x.pending = append(x.pending, now.Add(-age))
 	}
 	x.relayedAt = now // nothing was read during the hand-over
--- a/internal/exchange/handover_test.go
+++ b/internal/exchange/handover_test.go
@@ -33,10 +33,10 @@
 
 func noReport([]byte) *balance.LoadReport { return nil }
 
-var someLimits = Limits{Silence: time.Minute, LateNotice: time.Minute, CloseTimeout: time.Second}
+var someLimits = Limits{ResponseTimeout: time.Minute, LateReportInterval: time.Minute, CloseTimeout: time.Second}
 
 // newOpenExchange returns an open one, with the far ends of both connections; done is closed when it has ended.
-func newOpenExchange(t *testing.T, sink Sink) (x *Exchange, client, server *net.TCPConn, done chan struct{}) {
+func newOpenExchange(t *testing.T, sink Observer) (x *Exchange, client, server *net.TCPConn, done chan struct{}) {
 	t.Helper()
 	head, err := ParseHead([]byte("OPEN id key c=chat,d=2000\r\n"))
 	if err != nil {
@@ -83,8 +83,10 @@
 	closed  chan balance.Outcome
 }
 
-func (s recordingSink) Message(*Exchange, balance.ServerID, time.Duration) { s.message <- struct{}{} }
-func (s recordingSink) Closed(_ *Exchange, _ Attempt, o balance.Outcome, _ time.Duration, _ *balance.LoadReport) {
+func (s recordingSink) ResponseTime(*Exchange, balance.ServerID, time.Duration) {
+	s.message <- struct{}{}
+}
+func (s recordingSink) AttemptEnded(_ *Exchange, _ Attempt, o balance.Outcome, _ time.Duration, _ *balance.LoadReport) {
 	s.closed <- o
 }
 
@@ -123,7 +125,7 @@
 	if got := <-sink.closed; got != balance.Cancelled {
 		t.Errorf("cut at %d: the old process says %v", cut, got)
 	}
-	head, err := ParseHead(s.Head)
+	head, err := ParseHead(s.FirstLine)
 	if err != nil || s.Server != 7 || s.Addr != "there" {
 		t.Fatalf("cut at %d: %+v, %v", cut, s, err)
 	}
@@ -215,17 +217,17 @@
 	var a, b *net.TCPConn
 	for !x.HandOver(patience, func(st *OpenConnection, c, s2 *net.TCPConn) bool {
 		s, a, b = st, duplicate(t, c), duplicate(t, s2)
-		return len(st.Pending) == 1
+		return len(st.PendingAges) == 1
 	}) {
 	}
-	head, err := ParseHead(s.Head)
+	head, err := ParseHead(s.FirstLine)
 	if err != nil {
 		t.Fatal(err)
 	}
 	limits := Limits{
-		Silence:      60 * time.Millisecond,
-		LateNotice:   20 * time.Millisecond,
-		CloseTimeout: 200 * time.Millisecond,
+		ResponseTimeout:    60 * time.Millisecond,
+		LateReportInterval: 20 * time.Millisecond,
+		CloseTimeout:       200 * time.Millisecond,
 	}
 	y := NewInherited(s, head, a, b, &ClassCounters{}, newRecordingSink(), limits, zap.NewNop())
 	go y.RelayServer(noReport)
--- a/internal/exchange/head.go
+++ b/internal/exchange/head.go
@@ -19,7 +19,7 @@
 	Group            []byte
 	PreviousServer   []byte        // the server of a connection that the client had before; nil for none
 	IsRepeat         bool          // the client repeats the request, or reconnects
-	Wait             time.Duration // how long the client waits for its answer, from sending the line
+	Timeout          time.Duration // how long the client waits for its answer, from sending the line
 	waitFrom, waitTo int           // where the wait is in the line
 }
 
@@ -91,7 +91,7 @@
 		if !ok || !(ms > 0 && ms <= float64(maxWait.Milliseconds())) {
 			return false
 		}
-		h.Wait = time.Duration(ms * float64(time.Millisecond))
+		h.Timeout = time.Duration(ms * float64(time.Millisecond))
 		h.waitFrom, h.waitTo = offset, offset+len(value)
 	}
 	return true
@@ -109,8 +109,8 @@
 	return n, err == nil && n >= 0 && !math.Signbit(n)
 }
 
-// WithWait returns the line with another wait, in whole milliseconds of at least 1, for one gathered write.
-func (h *Head) WithWait(wait time.Duration) net.Buffers {
+// WithTimeout returns the line with another timeout, in whole milliseconds of at least 1, for one vectored write.
+func (h *Head) WithTimeout(wait time.Duration) net.Buffers {
 	ms := strconv.AppendInt(nil, max(wait.Milliseconds(), 1), 10)
 	return net.Buffers{h.line[:h.waitFrom], ms, h.line[h.waitTo:]}
 }
--- a/internal/exchange/head_test.go
+++ b/internal/exchange/head_test.go
@@ -15,14 +15,14 @@
 		t.Fatal(err)
 	}
 	if string(h.ID) != "9b1f03aa" || string(h.Key) != "7f3a9c21" || string(h.Class) != "chat" ||
-		string(h.Group) != "5c0f" || !h.IsRepeat || h.Wait != 2*time.Second || h.PreviousServer != nil {
+		string(h.Group) != "5c0f" || !h.IsRepeat || h.Timeout != 2*time.Second || h.PreviousServer != nil {
 		t.Errorf("read as %+v", h)
 	}
 	for wait, want := range map[time.Duration]string{
 		1234567 * time.Microsecond: "d=1234,", 0: "d=1,", -time.Second: "d=1,", 12 * time.Second: "d=12000,",
 	} {
 		var out bytes.Buffer
-		parts := h.WithWait(wait)
+		parts := h.WithTimeout(wait)
 		parts.WriteTo(&out)
 		if got, want := out.String(), strings.Replace(line, "d=2000,", want, 1); got != want {
 			t.Errorf("wait %v: got %q, want %q", wait, got, want)
@@ -36,7 +36,7 @@
 		t.Fatalf("got %+v, %v", h, err)
 	}
 	var out bytes.Buffer
-	parts := h.WithWait(time.Second)
+	parts := h.WithTimeout(time.Second)
 	parts.WriteTo(&out)
 	if got := out.String(); got != "OPEN a b d=1000,at=s-5be2a07c,c=chat,again=1\r\n" {
 		t.Errorf("got %q", got)
@@ -104,7 +104,7 @@
 			return
 		}
 		var out bytes.Buffer
-		parts := h.WithWait(time.Duration(ms) * time.Millisecond)
+		parts := h.WithTimeout(time.Duration(ms) * time.Millisecond)
 		parts.WriteTo(&out)
 		got, err := ParseHead(out.Bytes())
 		if err != nil || !bytes.Equal(got.ID, h.ID) || !bytes.Equal(got.Key, h.Key) ||
--- a/internal/exchange/server.go
+++ b/internal/exchange/server.go
@@ -24,7 +24,7 @@
 	x.mu.Lock()
 	x.apply(eventRelayEnded)
 	x.mu.Unlock()
-	x.sink.Closed(x, x.attempt, outcome, time.Since(x.attemptBegun), report)
+	x.observer.AttemptEnded(x, x.attempt, outcome, time.Since(x.attemptBegun), report)
 	x.endSide()
 }
 
@@ -102,7 +102,7 @@
 		x.setServerDeadline()
 	}
 	x.mu.Unlock()
-	x.sink.Message(x, x.attempt.Server, now.Sub(sent))
+	x.observer.ResponseTime(x, x.attempt.Server, now.Sub(sent))
 }
 
 // setServerDeadline sets until when the server is read from before a pending message is reported as late, or its close
@@ -112,7 +112,7 @@
 	if owed[x.state].serverClose {
 		next = x.lastWordAt.Add(x.limits.CloseTimeout)
 	} else if len(x.pending) > 0 {
-		next = x.pending[0].Add(x.limits.LateNotice)
+		next = x.pending[0].Add(x.limits.LateReportInterval)
 	}
 	x.server.SetReadDeadline(next)
 }
@@ -145,7 +145,7 @@
 		age = min(time.Since(x.pending[0]), time.Since(x.relayedAt))
 	}
 	switch {
-	case age >= x.limits.Silence && x.end(eventServerSilent, ServerSilent):
+	case age >= x.limits.ResponseTimeout && x.end(eventServerSilent, ServerSilent):
 		x.mu.Unlock()
 		x.sendMove()
 		return true, balance.TimedOut
@@ -161,11 +161,11 @@
 	if len(x.pending) == 0 { // the deadline was that of a hand-over that failed
 		x.setServerDeadline()
 	} else {
-		x.server.SetReadDeadline(time.Now().Add(min(x.limits.LateNotice, x.limits.Silence-age)))
+		x.server.SetReadDeadline(time.Now().Add(min(x.limits.LateReportInterval, x.limits.ResponseTimeout-age)))
 	}
 	x.mu.Unlock()
 	if age > 0 {
-		x.sink.Message(x, x.attempt.Server, age)
+		x.observer.ResponseTime(x, x.attempt.Server, age)
 	}
 	return false, balance.Cancelled
 }
--- a/internal/exchange/state.go
+++ b/internal/exchange/state.go
@@ -30,7 +30,7 @@
 	eventAccepted                      // by the server
 	eventMoveRequested                 // by the caller
 	eventMoveSent                      // by the server's goroutine
-	eventServerSilent                  // no response to a message within Limits.Silence
+	eventServerSilent                  // no response to a message within Limits.ResponseTimeout
 	eventLastWord                      // BYE or MOVE by the server
 	eventEnded                         // by either side, or by the hand-over to another process
 	eventRelayEnded                    // the server's goroutine has no more to relay
--- a/internal/frontend/handshake.go
+++ b/internal/frontend/handshake.go
@@ -37,8 +37,8 @@
 	s.handshakes = slices.Delete(s.handshakes, 0, n)
 }
 
-// LimitHandshakes sets an upper limit on the time of the handshakes, both those begun and those to come.
-func (s *Server) LimitHandshakes(within time.Duration) {
+// LimitHandshakeTime sets an upper limit on the time that each handshake has left, and on that of future handshakes.
+func (s *Server) LimitHandshakeTime(within time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.firstLineTimeout = min(s.firstLineTimeout, within)
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -53,7 +53,7 @@
 type Server struct {
 	cfg            Config
 	log            *zap.Logger
-	sink           exchange.Sink
+	observer       exchange.Observer
 	onRequest      func(*exchange.Exchange)
 	requestSlots   chan struct{} // holds an element for each request
 	handshakeSlots chan struct{} // and one for each connection without a request
@@ -67,13 +67,13 @@
 	firstLineTimeout time.Duration // of the next handshake
 }
 
-// New returns a server. onRequest is called on a goroutine of its own for each request; sink receives what happens to
-// it.
-func New(cfg Config, log *zap.Logger, sink exchange.Sink, onRequest func(*exchange.Exchange)) *Server {
+// New returns a server. onRequest is called on a goroutine of its own for each request; observer is notified of its
+// events.
+func New(cfg Config, log *zap.Logger, observer exchange.Observer, onRequest func(*exchange.Exchange)) *Server {
 	return &Server{
 		cfg:              cfg,
 		log:              log,
-		sink:             sink,
+		observer:         observer,
 		onRequest:        onRequest,
 		requestSlots:     make(chan struct{}, cfg.MaxRequests),
 		handshakeSlots:   make(chan struct{}, cfg.MaxHandshakes),
@@ -104,7 +104,7 @@
 	s.releaseHandshake(c)
 	c.SetReadDeadline(time.Time{})
 	s.Counters.Requests.Add(1)
-	x := exchange.New(head, c, counters, s.sink, s.cfg.ExchangeLimits, s.log)
+	x := exchange.New(head, c, counters, s.observer, s.cfg.ExchangeLimits, s.log)
 	go s.onRequest(x) // it may block, and a client that leaves meanwhile is to be noticed at once
 	x.RelayClient()
 	if x.AwaitsAnswer() {
@@ -116,7 +116,7 @@
 // Inherit continues a connection that another process has handed over; run is called with its exchange before anything
 // is read. It returns false where no slot is free, or where this process would not accept the request.
 func (s *Server) Inherit(st *exchange.OpenConnection, client, server *net.TCPConn, run func(*exchange.Exchange)) bool {
-	head, err := exchange.ParseHead(st.Head)
+	head, err := exchange.ParseHead(st.FirstLine)
 	if err != nil {
 		return false
 	}
@@ -127,7 +127,7 @@
 	if s.reserveRequest(head) != "" {
 		return false
 	}
-	x := exchange.NewInherited(st, head, client, server, counters, s.sink, s.cfg.ExchangeLimits, s.log)
+	x := exchange.NewInherited(st, head, client, server, counters, s.observer, s.cfg.ExchangeLimits, s.log)
 	run(x)
 	s.connections.Go(func() {
 		defer s.releaseRequest(head)
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -71,7 +71,7 @@
 // A connection is accepted just after the handshakes were limited.
 func TestLimitHandshakesBindsLaterConnections(t *testing.T) {
 	s, l, dial := newTestServer(t, 10)
-	s.LimitHandshakes(20 * time.Millisecond)
+	s.LimitHandshakeTime(20 * time.Millisecond)
 	go s.Serve(context.Background(), l)
 	for _, text := range []string{"", "OPEN half"} {
 		if got := dial(text)(); got != "ERR no request in time\r\n<nil>" {
--- a/internal/upgrade/golden_test.go
+++ b/internal/upgrade/golden_test.go
@@ -25,8 +25,9 @@
 			Utilisation: 0.25, ReportedAt: 16, ConnectionsSinceReport: 17,
 			LatestStart: 18, StartLearnedAt: 19}},
 		Affinities: []balance.AffinityRecord{{ClientKey: "k\x01<é>", Server: 1<<63 + 5, StartedAt: 20, ExpiresAt: 21}}}
-	standing := &exchange.OpenConnection{Head: []byte("OPEN a b c=x,d=1\r\n"), Server: 1<<63 + 5, Addr: "10.0.0.1:1",
-		Age: time.Second, Pending: []time.Duration{2, 1}, FromClient: []byte{0, 255}, FromServer: []byte("half")}
+	standing := &exchange.OpenConnection{FirstLine: []byte("OPEN a b c=x,d=1\r\n"), Server: 1<<63 + 5,
+		Addr: "10.0.0.1:1", Age: time.Second, PendingAges: []time.Duration{2, 1}, BufferedFromClient: []byte{0, 255},
+		BufferedFromServer: []byte("half")}
 	return []Message{
 		{Kind: KindHello},
 		{Kind: KindState, Endpoints: list},
@@ -37,7 +38,7 @@
 		{Kind: KindServing},
 		{Kind: KindReleased},
 		{Kind: KindConnection, Connection: standing},
-		{Kind: KindConnection, Connection: &exchange.OpenConnection{Head: []byte("x"), Server: 1}},
+		{Kind: KindConnection, Connection: &exchange.OpenConnection{FirstLine: []byte("x"), Server: 1}},
 		{Kind: KindAccepted},
 		{Kind: KindRejected},
 	}
--- a/internal/upgrade/message.go
+++ b/internal/upgrade/message.go
@@ -101,7 +101,7 @@
 		}
 		return nil
 	case KindConnection:
-		if c := m.Connection; c == nil || len(c.Head) == 0 || c.Server == 0 || c.Age < 0 {
+		if c := m.Connection; c == nil || len(c.FirstLine) == 0 || c.Server == 0 || c.Age < 0 {
 			return ErrIncompleteConnection
 		}
 		return nil
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -65,9 +65,9 @@
 	predecessor, successor := newLinks(t)
 	client, farClient := tcpPair(t)
 	server, farServer := tcpPair(t)
-	want := &exchange.OpenConnection{Head: []byte("OPEN a b c=x,d=1\r\n"), Server: 1<<63 + 5, Addr: "10.0.0.1:1",
-		Age:     time.Second,
-		Pending: []time.Duration{2, 1}, FromClient: []byte{0, 255}, FromServer: []byte("half")}
+	want := &exchange.OpenConnection{FirstLine: []byte("OPEN a b c=x,d=1\r\n"), Server: 1<<63 + 5, Addr: "10.0.0.1:1",
+		Age:         time.Second,
+		PendingAges: []time.Duration{2, 1}, BufferedFromClient: []byte{0, 255}, BufferedFromServer: []byte("half")}
 	if err := predecessor.Send(Message{Kind: KindConnection, Connection: want}, patience, client, server); err != nil {
 		t.Fatal(err)
 	}
@@ -144,7 +144,7 @@
 	predecessor, successor := newLinks(t)
 	near, far := tcpPair(t)
 	for _, kind := range []Kind{KindConnection, KindHello} {
-		m := Message{Kind: kind, Connection: &exchange.OpenConnection{Head: []byte("x"), Server: 1}}
+		m := Message{Kind: kind, Connection: &exchange.OpenConnection{FirstLine: []byte("x"), Server: 1}}
 		if err := predecessor.Send(m, patience, near); err != nil {
 			t.Fatal(err)
 		}
@@ -259,7 +259,7 @@
 func FuzzDecode(f *testing.F) {
 	for _, m := range []Message{{Kind: KindHello}, {Kind: KindStateEnd, OutOfService: true, DiscoveryAddr: "a:1"},
 		{Kind: KindState, State: &balance.HandoverState{Affinities: []balance.AffinityRecord{{ClientKey: "k"}}}},
-		{Kind: KindConnection, Connection: &exchange.OpenConnection{Head: []byte("OPEN"), Server: 3, Age: 1}}} {
+		{Kind: KindConnection, Connection: &exchange.OpenConnection{FirstLine: []byte("OPEN"), Server: 3, Age: 1}}} {
 		m.Version = protocolVersion
 		data, err := json.Marshal(m)
 		if err != nil {
--- a/node/attempts.go
+++ b/node/attempts.go
@@ -16,13 +16,13 @@
 	}
 	server := l.servers[a.Server]
 	attempt := exchange.Attempt{
-		Number:                x.Attempts,
+		Number:                x.AttemptCount,
 		Server:                a.Server,
 		Addr:                  server.Addr,
 		ServerStartedAtMillis: server.StartedAtMillis,
 	}
-	x.Attempts++
-	end := func(o balance.Outcome) { go l.Closed(x, attempt, o, 0, nil) } // Closed blocks where the loop calls it
+	x.AttemptCount++
+	end := func(o balance.Outcome) { go l.AttemptEnded(x, attempt, o, 0, nil) } // Closed blocks where the loop calls it
 	if !l.invariants.allowAttempt(x, attempt, server.State) {
 		end(balance.Abandoned)
 		return
@@ -35,7 +35,7 @@
 	}
 	decided := time.Now()
 	if a.SendWithin > 0 {
-		attempt.LimitSendBy(decided.Add(a.SendWithin))
+		attempt.LimitSendDeadline(decided.Add(a.SendWithin))
 	}
 	l.control.Acquire(control.Connects, uint64(a.Server), quotaWait, func(ok bool) {
 		if !ok {
@@ -46,9 +46,9 @@
 			return
 		}
 		if deadline := l.control.AttemptDeadline(a.Server, isRetry, decided); !deadline.IsZero() {
-			attempt.LimitSendBy(deadline)
+			attempt.LimitSendDeadline(deadline)
 		}
-		l.backend.Attempt(x, attempt, a.Timeout)
+		l.backend.StartAttempt(x, attempt, a.Timeout)
 	})
 }
 
--- a/node/handover_test.go
+++ b/node/handover_test.go
@@ -422,7 +422,7 @@
 	other := newTestServer(t, "s-2")
 	toClient, _ := net.Dial("tcp", h.addr)
 	toServer, _ := net.Dial("tcp", other.addr)
-	standing := &exchange.OpenConnection{Head: []byte("OPEN i k c=chat,d=1000\r\n"),
+	standing := &exchange.OpenConnection{FirstLine: []byte("OPEN i k c=chat,d=1000\r\n"),
 		Server: balance.ServerID(other.endpoint("up").ID), Addr: other.addr}
 	if err := link.Send(upgrade.Message{Kind: upgrade.KindConnection, Connection: standing}, testTimeout,
 		toClient.(*net.TCPConn), toServer.(*net.TCPConn)); err != nil {
--- a/node/invariants.go
+++ b/node/invariants.go
@@ -44,7 +44,7 @@
 			zap.String("state", state))
 		return false
 	}
-	x.HasAttempt = true
+	x.HasActiveAttempt = true
 	return true
 }
 
@@ -52,7 +52,7 @@
 	class := v.classes[string(x.Head.Class)]
 	mayHaveRun := !x.FirstRunAt.IsZero()
 	switch {
-	case x.HasAttempt:
+	case x.HasActiveAttempt:
 		return noConcurrentAttempt, true
 	case mayHaveRun && class.Idempotency == balance.NonIdempotent:
 		return noUnsafeRetry, true
@@ -66,7 +66,7 @@
 
 // attemptEnded records the end of an attempt that took some time.
 func (v *invariants) attemptEnded(x *exchange.Exchange, outcome balance.Outcome, took time.Duration) {
-	x.HasAttempt = false
+	x.HasActiveAttempt = false
 	if x.FirstRunAt.IsZero() && !outcome.NotExecuted() {
 		x.FirstRunAt = time.Now().Add(-took)
 	}
--- a/node/leaving_test.go
+++ b/node/leaving_test.go
@@ -99,7 +99,7 @@
 	w.open("")
 	w.n.waitFor("the requests", func() bool { return w.n.frontend.Counters.Requests.Load() == leavingClients })
 	w.leavingSeen = func() bool {
-		return strings.Count(allStacks(), "exchange.(*Exchange).endClient(") == leavingClients
+		return strings.Count(allStacks(), "exchange.(*Exchange).handleClientEnd(") == leavingClients
 	}
 	return func() { close(hold) }
 }
--- a/node/node.go
+++ b/node/node.go
@@ -125,9 +125,9 @@
 		ClassCounters:    func(name []byte) *exchange.ClassCounters { return n.loop.classes[string(name)] },
 		IsInService:      n.lifecycle.acceptsClients,
 		ExchangeLimits: exchange.Limits{
-			Silence:      milliseconds(t.ResponseSilenceMS),
-			LateNotice:   milliseconds(t.LateNoticeMS),
-			CloseTimeout: milliseconds(t.CloseMS),
+			ResponseTimeout:    milliseconds(t.ResponseSilenceMS),
+			LateReportInterval: milliseconds(t.LateNoticeMS),
+			CloseTimeout:       milliseconds(t.CloseMS),
 		},
 	}
 }
--- a/node/reconnect.go
+++ b/node/reconnect.go
@@ -32,8 +32,8 @@
 			return
 		}
 		attempt := exchange.Attempt{Server: id, Addr: addr, ServerStartedAtMillis: l.servers[id].StartedAtMillis,
-			SendBy: l.control.SendDeadline(control.Connects)}
-		l.backend.Attempt(x, attempt, 0)
+			SendDeadline: l.control.SendDeadline(control.Connects)}
+		l.backend.StartAttempt(x, attempt, 0)
 	})
 	l.control.SendRequests()
 }
--- a/node/requests.go
+++ b/node/requests.go
@@ -125,14 +125,14 @@
 	l.handle(balance.ClientDisconnected{ID: x.ID})
 }
 
-// Left is part of exchange.Sink.
-func (l *loop) Left(x *exchange.Exchange) {
+// ClientLeft implements exchange.Observer.
+func (l *loop) ClientLeft(x *exchange.Exchange) {
 	l.post(func() {
 		l.counters.left.Add(1)
 		if x.ID == 0 { // not registered
 			return
 		}
-		l.forget(x.ID) // without an attempt in flight no Closed follows
+		l.forget(x.ID) // without an active attempt no AttemptEnded follows
 		if i := slices.Index(l.awaitingServer, x); i >= 0 {
 			l.awaitingServer = slices.Delete(l.awaitingServer, i, i+1)
 		}
@@ -140,8 +140,8 @@
 	})
 }
 
-// Accepted is part of exchange.Sink.
-func (l *loop) Accepted(x *exchange.Exchange, a exchange.Attempt, elapsed time.Duration) {
+// AttemptAccepted implements exchange.Observer.
+func (l *loop) AttemptAccepted(x *exchange.Exchange, a exchange.Attempt, elapsed time.Duration) {
 	l.post(func() {
 		l.counters.served.Add(1)
 		if len(x.Head.PreviousServer) > 0 {
@@ -155,8 +155,8 @@
 	})
 }
 
-// Closed is part of exchange.Sink.
-func (l *loop) Closed(x *exchange.Exchange, a exchange.Attempt, outcome balance.Outcome, elapsed time.Duration,
+// AttemptEnded implements exchange.Observer.
+func (l *loop) AttemptEnded(x *exchange.Exchange, a exchange.Attempt, outcome balance.Outcome, elapsed time.Duration,
 	report *balance.LoadReport) {
 	l.post(func() {
 		l.invariants.attemptEnded(x, outcome, elapsed)
@@ -172,8 +172,8 @@
 	})
 }
 
-// Message is part of exchange.Sink. A measurement is dropped while the queue is full.
-func (l *loop) Message(x *exchange.Exchange, server balance.ServerID, elapsed time.Duration) {
+// ResponseTime implements exchange.Observer. A measurement is dropped while the event queue is full.
+func (l *loop) ResponseTime(x *exchange.Exchange, server balance.ServerID, elapsed time.Duration) {
 	select {
 	case l.events <- func() { l.onMessageTime(x.ID, server, elapsed) }:
 	default:
--- a/node/shutdown.go
+++ b/node/shutdown.go
@@ -60,12 +60,12 @@
 func (s *shutdown) stopAccepting() {
 	n, t := s.n, s.n.cfg.Timeouts
 	if n.inheritsListener() {
-		n.frontend.LimitHandshakes(time.Until(s.finalAnswers))
+		n.frontend.LimitHandshakeTime(time.Until(s.finalAnswers))
 		n.listener.Close()
 		return
 	}
 	time.Sleep(milliseconds(t.AcceptAfterStopMS))
-	n.frontend.LimitHandshakes(min(milliseconds(t.CloseMS), time.Until(s.finalAnswers)))
+	n.frontend.LimitHandshakeTime(min(milliseconds(t.CloseMS), time.Until(s.finalAnswers)))
 	n.frontend.AcceptRemaining(n.listener)
 }
 
