--- a/internal/exchange/attempt.go
+++ b/internal/exchange/attempt.go
@@ -14,53 +14,54 @@
 	Number                int // from 0
 	Server                balance.ServerID
 	Addr                  string    // of the server
-	ServerStartedAtMillis int64     // as the list of servers gave it
-	SendDeadline          time.Time // the first line is sent by then or not at all; the zero time for no limit
+	ServerStartedAtMillis int64     // start time of the server from the list of servers
+	SendDeadline          time.Time // after it the first line must not be sent; the zero time for no limit
 }
 
 // LimitSendDeadline sets SendDeadline, unless it is earlier already.
-func (a *Attempt) LimitSendDeadline(by time.Time) {
-	if a.SendDeadline.IsZero() || by.Before(a.SendDeadline) {
-		a.SendDeadline = by
+func (a *Attempt) LimitSendDeadline(deadline time.Time) {
+	if a.SendDeadline.IsZero() || deadline.Before(a.SendDeadline) {
+		a.SendDeadline = deadline
 	}
 }
 
-// StartAttempt notes that an attempt starts, which is to call EndAttempt or Accept. It returns false where the client
-// does not await an answer any more.
+// StartAttempt registers a new attempt, which must end with EndAttempt or Accept. It returns false if the client no
+// longer awaits an answer. cancel is called to cancel the attempt.
 func (x *Exchange) StartAttempt(a Attempt, cancel func()) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if !x.apply(eventAttemptStarted) {
 		return false
 	}
-	x.attempt, x.cancelAttempt, x.attemptBegun = a, cancel, time.Now()
-	x.openSides.Add(1)
+	x.attempt, x.cancelAttempt, x.attemptStartedAt = a, cancel, time.Now()
+	x.otherUsers.Add(1)
 	return true
 }
 
-// EndAttempt notes that an attempt has ended that the server did not accept, and that its connection is closed. Until
-// then the request keeps its slot.
-func (x *Exchange) EndAttempt() { x.endSide() }
+// EndAttempt must be called when an attempt that the server did not accept has ended and its connection is closed.
+// Until then the request keeps its slot.
+func (x *Exchange) EndAttempt() { x.release() }
 
-// StartSending notes that the attempt that is out sends its first line now: from here on it may run. It returns false
-// where it must send nothing, as the client has left, or the attempt was cancelled or is late. This is decided under
-// x.mu, so that no end of the exchange falls between the decision and the line. The kernel is asked first whether the
-// client has left: the client's goroutine may not have read its end yet.
+// StartSending must be called before the active attempt sends its first line, after which the server may run the
+// request. It returns false if nothing may be sent: the client has disconnected, the attempt was cancelled, or its
+// SendDeadline has passed. The decision is made under x.mu: the exchange ends either before it, and nothing is sent, or
+// after it, and the server may have run the request. The client's TCP connection is checked first, because the client's
+// goroutine may not have read its end yet.
 func (x *Exchange) StartSending() bool {
 	if x.client.IsPeerClosed() {
-		x.leave()
+		x.handleClientLeft()
 		return false
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if by := x.attempt.SendDeadline; !by.IsZero() && time.Now().After(by) {
+	if deadline := x.attempt.SendDeadline; !deadline.IsZero() && time.Now().After(deadline) {
 		return false
 	}
 	return x.apply(eventSendingStarted)
 }
 
-// CancelUnsent cancels the attempt that is out, if it has sent nothing yet and isStale returns true for it. Its end is
-// reported like any other.
+// CancelUnsent cancels the active attempt if it has not sent anything and isStale returns true for it. The observer is
+// notified of its end as of any other.
 func (x *Exchange) CancelUnsent(isStale func(Attempt) bool) {
 	x.mu.Lock()
 	cancelled := x.state == stateConnecting && isStale(x.attempt) && x.apply(eventAttemptCancelled)
@@ -71,10 +72,11 @@
 	}
 }
 
-// Accept gives the client the line by which the server has accepted the request, and relays what the server sends until
-// it ends. The attempt's goroutine calls it. It returns false where the client does not await an answer any more; the
-// connection stays the caller's then. parse reads the load report of the server's last line.
-func (x *Exchange) Accept(server *lines.Conn, line []byte, parse func([]byte) *balance.LoadReport) bool {
+// Accept sends the client the line by which the server accepted the request, and then relays the server's lines until
+// the server's connection ends. It is called on the attempt's goroutine. It returns false if the client no longer
+// awaits an answer; the caller then keeps ownership of the server's connection. parseReport returns the load report of
+// the server's BYE line, or nil for none.
+func (x *Exchange) Accept(server *lines.Conn, line []byte, parseReport func([]byte) *balance.LoadReport) bool {
 	x.mu.Lock()
 	if !x.apply(eventAccepted) {
 		x.mu.Unlock()
@@ -85,45 +87,46 @@
 	x.counters.Served.Add(1)
 	x.client.SetWriteDeadline(x.acceptedAt.Add(x.limits.CloseTimeout))
 	x.mu.Unlock()
-	_, err := x.client.Write(line) // before anything else that this server sends
+	_, err := x.client.Write(line) // must precede all other lines of this server
 	x.mu.Lock()
-	if !owed[x.state].move { // else the deadline is Move's
+	if !propertiesOf[x.state].moveRequested { // otherwise Move has set the deadline
 		x.client.SetWriteDeadline(time.Time{})
 	}
 	x.mu.Unlock()
-	x.observer.AttemptAccepted(x, x.attempt, x.acceptedAt.Sub(x.attemptBegun))
+	x.observer.AttemptAccepted(x, x.attempt, x.acceptedAt.Sub(x.attemptStartedAt))
 	x.sendEarlyLines(server)
 	close(x.answered)
 	if err == nil {
-		x.toClient.Add(1)
-	} else { // part of the line may have been sent: nothing more can follow it
+		x.linesToClient.Add(1)
+	} else { // part of the line may have been sent: no other line can follow
 		x.client.Reset()
 	}
-	x.RelayServer(parse)
+	x.RelayServer(parseReport)
 	return true
 }
 
-// sendEarlyLines sends what the client sent before its answer to the server, before anything that it sends later.
+// sendEarlyLines sends the server the lines that the client sent before its answer. Lines that the client sends later
+// follow once x.answered is closed.
 func (x *Exchange) sendEarlyLines(server *lines.Conn) {
 	x.mu.Lock()
-	early := x.early
-	x.early = nil
-	if len(early) == 0 {
+	earlyLines := x.earlyLines
+	x.earlyLines = nil
+	if len(earlyLines) == 0 {
 		x.mu.Unlock()
 		return
 	}
-	count := bytes.Count(early, []byte("\n"))
-	x.pending = slices.Repeat([]time.Time{time.Now()}, min(count, maxPending))
-	if !owed[x.state].move && x.handOver == nil {
+	lineCount := bytes.Count(earlyLines, []byte("\n"))
+	x.pendingSentAt = slices.Repeat([]time.Time{time.Now()}, min(lineCount, maxPendingMessages))
+	if !propertiesOf[x.state].moveRequested && x.handover == nil {
 		x.setServerDeadline()
 	}
 	x.mu.Unlock()
-	// A server that does not read must not delay what it sends.
+	// Limited because this goroutine also relays the server's lines: a server that does not read would delay them.
 	server.SetWriteDeadline(time.Now().Add(x.limits.CloseTimeout))
 	defer server.SetWriteDeadline(time.Time{})
-	if _, err := server.Write(early); err != nil {
+	if _, err := server.Write(earlyLines); err != nil {
 		server.Reset() // part of a line may have been sent
 		return
 	}
-	x.toServer.Add(int64(count))
+	x.linesToServer.Add(int64(lineCount))
 }
--- a/internal/exchange/client.go
+++ b/internal/exchange/client.go
@@ -9,88 +9,90 @@
 	"brassmux/internal/lines"
 )
 
-// RelayClient relays what the client sends, and returns when both sides have ended: a client that has ended its sending
-// may still be read to. The client's goroutine calls it once, after New.
+// RelayClient relays the client's lines, and returns when both connections are closed: a client that has closed its
+// sending side may still receive lines. The client's goroutine calls it once, after New or NewInherited.
 func (x *Exchange) RelayClient() {
-	x.readClient()
-	x.endSide()
+	x.relayClientLines()
+	x.release()
 	<-x.ended
 }
 
-func (x *Exchange) readClient() {
-	for drained := 0; ; {
-		line, taken, err := x.readClientLine()
-		if taken {
+// relayClientLines reads from the client until its connection ends or another process continues it.
+func (x *Exchange) relayClientLines() {
+	for drainedBytes := 0; ; {
+		line, transferred, err := x.readClientLine()
+		if transferred {
 			return
 		}
 		if errors.Is(err, lines.ErrTooLong) && x.rejectEarlyLines() {
 			line, err = x.client.TakeBuffered(), nil
 		}
-		if err != nil || drained > MaxDrainBytes {
+		if err != nil || drainedBytes > MaxDrainBytes {
 			x.handleClientEnd(err)
 			return
 		}
-		if !x.keepEarlyLine(line) && !x.sendToServer(line) {
-			drained += len(line)
+		if !x.bufferEarlyLine(line) && !x.sendToServer(line) {
+			drainedBytes += len(line)
 		}
 	}
 }
 
-// readClientLine reads the next line of the client's, over the pauses of a hand-over. taken means that another process
-// has the connection. A timeout is returned where the client has not closed after the server had.
-func (x *Exchange) readClientLine() (line []byte, taken bool, err error) {
+// readClientLine reads the client's next line, and pauses during handovers. transferred is true if another process
+// continues the connection. A timeout error means that the client has not closed its connection after its final answer
+// or after the end of the server's connection.
+func (x *Exchange) readClientLine() (line []byte, transferred bool, err error) {
 	for {
 		line, err = x.client.ReadLine()
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return line, false, err
 		}
-		taken, paused := x.pauseForHandOver()
-		if taken || !paused && !x.isOpen() {
-			return nil, taken, err
+		transferred, paused := x.pauseForHandover()
+		if transferred || !paused && !x.isOpen() {
+			return nil, transferred, err
 		}
 	}
 }
 
-// sendToServer sends a line of the client's to the server, after its early lines. It returns false where the client has
-// its final answer: the line is read only so that the connection closes without a reset.
+// sendToServer sends a client line to the server, after the client's early lines. It returns false if no more lines are
+// sent to the server: the line was read only so that the connection closes without a reset.
 func (x *Exchange) sendToServer(line []byte) bool {
 	<-x.answered
 	x.mu.Lock()
-	server, now := x.server, owed[x.state]
-	if !now.clientLines {
+	server, properties := x.server, propertiesOf[x.state]
+	if !properties.relaysClientLines {
 		x.mu.Unlock()
 		return false
 	}
-	if len(x.pending) < maxPending {
-		x.pending = append(x.pending, time.Now())
+	if len(x.pendingSentAt) < maxPendingMessages {
+		x.pendingSentAt = append(x.pendingSentAt, time.Now())
 	}
-	if len(x.pending) == 1 && !now.move && x.handOver == nil {
-		server.SetReadDeadline(x.pending[0].Add(x.limits.LateReportInterval))
+	if len(x.pendingSentAt) == 1 && !properties.moveRequested && x.handover == nil {
+		server.SetReadDeadline(x.pendingSentAt[0].Add(x.limits.LateReportInterval))
 	}
 	x.mu.Unlock()
-	if _, err := server.Write(line); err == nil { // else the server's goroutine ends the exchange
-		x.toServer.Add(1)
+	if _, err := server.Write(line); err == nil { // otherwise the attempt's goroutine ends the exchange
+		x.linesToServer.Add(1)
 	}
 	return true
 }
 
-// keepEarlyLine keeps a line that the client sends before its answer. The client's goroutine goes on reading, so that
-// it notices when the client leaves.
-func (x *Exchange) keepEarlyLine(line []byte) bool {
+// bufferEarlyLine buffers a line that the client sends before its answer. It reports whether the line was buffered. The
+// client's goroutine continues to read before the answer so that it detects when the client disconnects.
+func (x *Exchange) bufferEarlyLine(line []byte) bool {
 	x.mu.Lock()
-	awaits, fits := owed[x.state].answer, len(x.early)+len(line) <= maxEarlyBytes
-	if awaits && fits {
-		x.early = append(x.early, line...)
+	awaitsAnswer, fits := propertiesOf[x.state].awaitsAnswer, len(x.earlyLines)+len(line) <= maxEarlyBytes
+	if awaitsAnswer && fits {
+		x.earlyLines = append(x.earlyLines, line...)
 	}
 	x.mu.Unlock()
-	if awaits && !fits {
+	if awaitsAnswer && !fits {
 		x.rejectEarlyLines()
 	}
-	return awaits && fits
+	return awaitsAnswer && fits
 }
 
-// rejectEarlyLines answers a client that has sent more before its answer than is kept, and waits until it has an
-// answer. It returns whether that is not a server's.
+// rejectEarlyLines answers a client that has sent more than maxEarlyBytes, or too long a line, before its answer. It
+// waits until the client has an answer, and reports whether that answer is the node's rather than a server's.
 func (x *Exchange) rejectEarlyLines() bool {
 	if x.Answer(WroteEarly, "ERR too much before the answer") {
 		x.observer.ClientLeft(x)
@@ -101,27 +103,29 @@
 	return x.state == stateClosed && x.server == nil
 }
 
-// leave ends an exchange whose client has left before its answer, once. A client has nothing to send before it: one
-// that ends its sending has left like one that closes.
-func (x *Exchange) leave() bool {
-	cancel, first := x.settle(eventClientLeft, ClientLeft)
-	if first {
+// handleClientLeft ends an exchange whose client has disconnected before its answer. It returns false if the client no
+// longer awaits an answer. A client that closes only its sending side before its answer also counts as disconnected,
+// because it could send no messages after the answer.
+func (x *Exchange) handleClientLeft() bool {
+	cancel, ended := x.endUnanswered(eventClientLeft, ClientLeft)
+	if ended {
 		if cancel != nil {
 			cancel()
 		}
 		x.observer.ClientLeft(x)
 	}
-	return first
+	return ended
 }
 
-// handleClientEnd ends the server's side the way the client's has ended.
+// handleClientEnd ends the server's connection in the same way as the client's has ended: with a close of the sending
+// side after EOF, and otherwise with a reset.
 func (x *Exchange) handleClientEnd(err error) {
-	if x.leave() {
+	if x.handleClientLeft() {
 		return
 	}
 	x.mu.Lock()
 	server := x.server
-	if !owed[x.state].clientLines {
+	if !propertiesOf[x.state].relaysClientLines {
 		x.mu.Unlock()
 		return
 	}
@@ -129,15 +133,15 @@
 	case err == io.EOF:
 		x.end(eventEnded, ClientEnded)
 		x.mu.Unlock()
-		if partial := x.client.TakeBuffered(); len(partial) > 0 {
-			server.Write(partial)
+		if partialLine := x.client.TakeBuffered(); len(partialLine) > 0 {
+			server.Write(partialLine)
 		}
 		server.CloseWrite()
 		server.SetReadDeadline(time.Now().Add(x.limits.CloseTimeout))
 		return
 	case errors.Is(err, lines.ErrTooLong):
 		x.end(eventEnded, LineTooLong)
-	case errors.Is(err, os.ErrDeadlineExceeded): // it did not close after the server had
+	case errors.Is(err, os.ErrDeadlineExceeded): // the client did not close after the server had closed
 	default:
 		x.end(eventEnded, ClientReset)
 	}
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -260,7 +260,7 @@
 			}
 		}
 		x.mu.Lock()
-		passes := owed[x.state].clientLines
+		passes := propertiesOf[x.state].relaysClientLines
 		x.mu.Unlock()
 		if passes {
 			t.Fatal("a line of the client's would be relayed after its MOVE")
--- a/internal/exchange/handover.go
+++ b/internal/exchange/handover.go
@@ -10,111 +10,114 @@
 	"brassmux/internal/lines"
 )
 
-// OpenConnection describes a connection between two lines to another process of the node.
+// OpenConnection is the state of an open connection, captured between two lines, that is handed over to another process
+// of the node.
 type OpenConnection struct {
 	FirstLine          []byte           `json:"head"` // the client's first line
 	Server             balance.ServerID `json:"server"`
 	Addr               string           `json:"addr"`
 	Age                time.Duration    `json:"age"`
 	PendingAges        []time.Duration  `json:"out"`         // ages of the messages without a response, oldest first
-	BufferedFromClient []byte           `json:"from_client"` // read and not sent on: less than a line
-	BufferedFromServer []byte           `json:"from_server"`
+	BufferedFromClient []byte           `json:"from_client"` // read but not relayed: less than a line
+	BufferedFromServer []byte           `json:"from_server"` // read but not relayed: less than a line
 }
 
-// handOver pauses both goroutines of an exchange between two lines until it is known who continues it.
-type handOver struct {
-	paused  chan struct{} // receives one of each goroutine
-	settled chan struct{} // closed when taken is set
-	taken   bool
+// handover pauses both goroutines of an exchange between two lines until it is decided which process continues it.
+type handover struct {
+	paused      chan struct{} // receives an element from each paused goroutine
+	decided     chan struct{} // closed after transferred is set
+	transferred bool          // another process continues the connection
 }
 
-// HandOver pauses both goroutines between two lines and passes the connection to send, which returns whether another
-// process has taken it. It returns false where the connection continues here; so does one whose goroutines do not pause
-// within the time, as when a write waits for a slow reader. send is called without a lock.
-func (x *Exchange) HandOver(within time.Duration, send func(s *OpenConnection, client, server *net.TCPConn) bool) bool {
+// HandOver pauses both goroutines between two lines and passes the connection to send, which reports whether another
+// process continues it. HandOver returns false if the connection continues in this process, as it also does if the
+// goroutines do not pause before the timeout, for example because a write waits for a slow reader. send is called
+// without a lock.
+func (x *Exchange) HandOver(timeout time.Duration,
+	send func(conn *OpenConnection, client, server *net.TCPConn) bool) bool {
 	x.mu.Lock()
-	if x.state != stateOpen || x.handOver != nil {
+	if x.state != stateOpen || x.handover != nil {
 		x.mu.Unlock()
 		return false
 	}
-	h := &handOver{paused: make(chan struct{}, 2), settled: make(chan struct{})}
-	x.handOver = h
+	h := &handover{paused: make(chan struct{}, 2), decided: make(chan struct{})}
+	x.handover = h
 	past := time.Unix(1, 0)
 	x.client.SetReadDeadline(past)
 	x.server.SetReadDeadline(past)
 	x.mu.Unlock()
-	taken := x.waitPaused(h, within) && x.isOpen() && send(x.describe(), x.client.TCPConn, x.server.TCPConn)
+	transferred := x.waitUntilPaused(h, timeout) && x.isOpen() && send(x.snapshot(), x.client.TCPConn, x.server.TCPConn)
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	h.taken, x.handOver = taken, nil
-	if taken {
+	h.transferred, x.handover = transferred, nil
+	if transferred {
 		x.end(eventEnded, HandedOver)
-	} else if owed[x.state].timing { // also after a last word, whose close is awaited
+	} else if propertiesOf[x.state].timesResponses { // includes a server that has sent BYE or MOVE and must close
 		x.client.SetReadDeadline(time.Time{})
 		x.setServerDeadline()
 	}
-	close(h.settled)
-	return taken
+	close(h.decided)
+	return transferred
 }
 
-// waitPaused waits until both goroutines have paused; false where they do not within the time, or the exchange ends.
-func (x *Exchange) waitPaused(h *handOver, within time.Duration) bool {
-	timeout := time.NewTimer(within)
-	defer timeout.Stop()
+// waitUntilPaused waits until both goroutines have paused. It returns false after the timeout, or if the exchange ends.
+func (x *Exchange) waitUntilPaused(h *handover, timeout time.Duration) bool {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	for range 2 {
 		select {
 		case <-h.paused:
 		case <-x.ended:
 			return false
-		case <-timeout.C:
+		case <-timer.C:
 			return false
 		}
 	}
 	return true
 }
 
-// pauseForHandOver is called by a goroutine whose read deadline has passed. While the exchange is being handed over it
-// waits, and paused is true: the deadline was not the connection's own. taken means that another process has the
-// connection.
-func (x *Exchange) pauseForHandOver() (taken, paused bool) {
+// pauseForHandover is called by a goroutine whose read deadline has passed. If a handover is in progress it waits for
+// the decision and returns paused true, because the handover may have set the deadline. transferred is true if another
+// process continues the connection.
+func (x *Exchange) pauseForHandover() (transferred, paused bool) {
 	x.mu.Lock()
-	h := x.handOver
+	h := x.handover
 	x.mu.Unlock()
 	if h == nil {
 		return false, false
 	}
 	h.paused <- struct{}{}
-	<-h.settled
-	return h.taken, true
+	<-h.decided
+	return h.transferred, true
 }
 
-// describe describes the exchange while both goroutines are paused, so that nobody else reads.
-func (x *Exchange) describe() *OpenConnection {
+// snapshot captures the state of the connection. Both goroutines must be paused, so that no other goroutine reads.
+func (x *Exchange) snapshot() *OpenConnection {
 	now := time.Now()
-	s := &OpenConnection{FirstLine: x.Head.line, Server: x.attempt.Server, Addr: x.attempt.Addr, Age: now.Sub(x.begun),
-		BufferedFromClient: x.client.Buffered(), BufferedFromServer: x.server.Buffered()}
+	conn := &OpenConnection{FirstLine: x.Head.line, Server: x.attempt.Server, Addr: x.attempt.Addr,
+		Age: now.Sub(x.startedAt), BufferedFromClient: x.client.Buffered(), BufferedFromServer: x.server.Buffered()}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	for _, sent := range x.pending {
-		s.PendingAges = append(s.PendingAges, now.Sub(sent))
+	for _, sentAt := range x.pendingSentAt {
+		conn.PendingAges = append(conn.PendingAges, now.Sub(sentAt))
 	}
-	return s
+	return conn
 }
 
-// NewInherited returns the exchange of a connection that another process has handed over. The caller runs RelayClient
-// and RelayServer.
-func NewInherited(s *OpenConnection, head *Head, client, server *net.TCPConn, counters *ClassCounters,
+// NewInherited returns the exchange of a connection that another process has handed over. The caller must run
+// RelayClient and RelayServer, each on its own goroutine.
+func NewInherited(conn *OpenConnection, head *Head, client, server *net.TCPConn, counters *ClassCounters,
 	observer Observer, limits Limits, log *zap.Logger) *Exchange {
-	x := New(head, lines.NewWithBuffered(client, s.BufferedFromClient), counters, observer, limits, log)
+	x := New(head, lines.NewWithBuffered(client, conn.BufferedFromClient), counters, observer, limits, log)
 	now := time.Now()
-	x.begun, x.attemptBegun, x.acceptedAt = now.Add(-s.Age), now.Add(-s.Age), now
-	x.state, x.server, x.AttemptCount = stateOpen, lines.NewWithBuffered(server, s.BufferedFromServer), 1
-	x.attempt = Attempt{Server: s.Server, Addr: s.Addr}
-	for _, age := range s.PendingAges[:min(len(s.PendingAges), maxPending)] {
-		x.pending = append(x.pending, now.Add(-age))
+	x.startedAt, x.attemptStartedAt, x.acceptedAt = now.Add(-conn.Age), now.Add(-conn.Age), now
+	x.state, x.server, x.AttemptCount = stateOpen, lines.NewWithBuffered(server, conn.BufferedFromServer), 1
+	x.attempt = Attempt{Server: conn.Server, Addr: conn.Addr}
+	for _, age := range conn.PendingAges[:min(len(conn.PendingAges), maxPendingMessages)] {
+		x.pendingSentAt = append(x.pendingSentAt, now.Add(-age))
 	}
-	x.relayedAt = now // nothing was read during the hand-over
-	x.openSides.Add(1)
+	x.lastRelayedAt = now // the server could not be read from during the handover
+	x.otherUsers.Add(1)
 	close(x.answered)
 	x.setServerDeadline()
 	return x
--- a/internal/exchange/head.go
+++ b/internal/exchange/head.go
@@ -11,32 +11,33 @@
 	"brassmux/internal/lines"
 )
 
-// Head is a client's first line, parsed in place: its parts are slices of the line.
+// Head is a client's first line, parsed in place: its byte fields are slices of the line.
 type Head struct {
-	line             []byte // with its end
-	ID, Key          []byte
-	Class            []byte
-	Group            []byte
-	PreviousServer   []byte        // the server of a connection that the client had before; nil for none
-	IsRepeat         bool          // the client repeats the request, or reconnects
-	Timeout          time.Duration // how long the client waits for its answer, from sending the line
-	waitFrom, waitTo int           // where the wait is in the line
+	line                     []byte // including CRLF
+	ID, Key                  []byte
+	Class                    []byte
+	Group                    []byte
+	PreviousServer           []byte        // server of the client's previous connection; nil for none
+	IsRepeat                 bool          // the client repeats the request, or reconnects
+	Timeout                  time.Duration // time that the client waits for its answer after it has sent the line
+	timeoutStart, timeoutEnd int           // position of the timeout in the line
 }
 
-// The errors of ParseHead. Their texts are what the client is told.
+// Errors of ParseHead. Their texts are sent to the client.
 var (
 	ErrUnknown   = errors.New("unknown request")
 	ErrMalformed = errors.New("malformed request")
 )
 
 const (
-	maxWait       = 24 * time.Hour
-	maxTokenBytes = 128 // of an ID and a key
+	maxTimeout    = 24 * time.Hour
+	maxTokenBytes = 128 // length of an ID or a key
 	fieldCount    = 4   // of a first line: OPEN, ID, key and attributes
 )
 
-// ParseHead parses a line with its end; the head keeps the line. It accepts only what a server can read: a server's
-// answer to another line would count as its failure. The error is ErrUnknown or ErrMalformed.
+// ParseHead parses a first line, including its CRLF. The head refers to the line, which must not change. Lines that a
+// server would reject as invalid are rejected, because a server's error answer to such a line would count as a failure
+// of the server. The error is ErrUnknown or ErrMalformed.
 func ParseHead(line []byte) (*Head, error) {
 	text, ok := lines.TrimPrintable(line)
 	if string(lines.FirstWord(line)) != "OPEN" {
@@ -48,7 +49,7 @@
 	if len(fields) != fieldCount || !isToken(fields[1]) || !isToken(fields[2]) {
 		return nil, ErrMalformed
 	}
-	h := &Head{line: line, ID: fields[1], Key: fields[2]}
+	head := &Head{line: line, ID: fields[1], Key: fields[2]}
 	offset := len(text) - len(fields[3])
 	seen := map[string]bool{}
 	for pair := range bytes.SplitSeq(fields[3], []byte(",")) {
@@ -57,19 +58,19 @@
 			return nil, ErrMalformed
 		}
 		seen[string(name)] = true
-		if !h.setAttribute(string(name), value, offset+len(name)+1) {
+		if !head.setAttribute(string(name), value, offset+len(name)+1) {
 			return nil, ErrMalformed
 		}
 		offset += len(pair) + 1
 	}
-	if h.waitTo == 0 || len(h.Class) == 0 {
+	if head.timeoutEnd == 0 || len(head.Class) == 0 {
 		return nil, ErrMalformed
 	}
-	return h, nil
+	return head, nil
 }
 
-// setAttribute sets an attribute whose value is at an offset in the line; false for an invalid value. Unknown
-// attributes are for the server.
+// setAttribute sets the attribute whose value begins at the offset in the line. It returns false for an invalid value.
+// Unknown attributes are ignored, since the server may know them.
 func (h *Head) setAttribute(name string, value []byte, offset int) bool {
 	switch name {
 	case "c":
@@ -88,29 +89,30 @@
 		return ok
 	case "d":
 		ms, ok := parseNumber(value)
-		if !ok || !(ms > 0 && ms <= float64(maxWait.Milliseconds())) {
+		if !ok || !(ms > 0 && ms <= float64(maxTimeout.Milliseconds())) {
 			return false
 		}
 		h.Timeout = time.Duration(ms * float64(time.Millisecond))
-		h.waitFrom, h.waitTo = offset, offset+len(value)
+		h.timeoutStart, h.timeoutEnd = offset, offset+len(value)
 	}
 	return true
 }
 
-// isToken reports whether text can be an ID or a key.
+// isToken reports whether text is valid as an ID or a key.
 func isToken(text []byte) bool { return len(text) > 0 && len(text) <= maxTokenBytes }
 
-// parseNumber parses a decimal number that is not negative; neither a hexadecimal one nor a word such as inf.
+// parseNumber parses a non-negative decimal number. It rejects hexadecimal numbers and words such as inf.
 func parseNumber(text []byte) (float64, bool) {
 	if len(bytes.Trim(text, "0123456789.e-+")) > 0 || bytes.HasPrefix(text, []byte("+")) {
 		return 0, false
 	}
-	n, err := strconv.ParseFloat(string(text), 64)
-	return n, err == nil && n >= 0 && !math.Signbit(n)
+	number, err := strconv.ParseFloat(string(text), 64)
+	return number, err == nil && number >= 0 && !math.Signbit(number)
 }
 
-// WithTimeout returns the line with another timeout, in whole milliseconds of at least 1, for one vectored write.
-func (h *Head) WithTimeout(wait time.Duration) net.Buffers {
-	ms := strconv.AppendInt(nil, max(wait.Milliseconds(), 1), 10)
-	return net.Buffers{h.line[:h.waitFrom], ms, h.line[h.waitTo:]}
+// WithTimeout returns the line with another timeout, in whole milliseconds but at least 1, as buffers for one vectored
+// write.
+func (h *Head) WithTimeout(timeout time.Duration) net.Buffers {
+	ms := strconv.AppendInt(nil, max(timeout.Milliseconds(), 1), 10)
+	return net.Buffers{h.line[:h.timeoutStart], ms, h.line[h.timeoutEnd:]}
 }
--- a/internal/exchange/server.go
+++ b/internal/exchange/server.go
@@ -10,46 +10,48 @@
 	"brassmux/internal/lines"
 )
 
-// serverEnd is how the server's side ends when its connection closes, by its last word.
-type serverEnd struct {
+// serverResult is the result of the server's connection, as determined by its BYE or MOVE.
+type serverResult struct {
 	outcome balance.Outcome
 	reason  Reason
 	report  *balance.LoadReport // nil for none
 }
 
-// RelayServer relays what the server of an open connection sends, until it ends. parse reads the load report of the
-// server's last line.
-func (x *Exchange) RelayServer(parse func([]byte) *balance.LoadReport) {
-	outcome, report := x.readServer(parse)
+// RelayServer relays the lines that the server of an open connection sends, until the connection ends. parseReport
+// returns the load report of the server's BYE line, or nil for none.
+func (x *Exchange) RelayServer(parseReport func([]byte) *balance.LoadReport) {
+	outcome, report := x.relayServerLines(parseReport)
 	x.mu.Lock()
 	x.apply(eventRelayEnded)
 	x.mu.Unlock()
-	x.observer.AttemptEnded(x, x.attempt, outcome, time.Since(x.attemptBegun), report)
-	x.endSide()
+	x.observer.AttemptEnded(x, x.attempt, outcome, time.Since(x.attemptStartedAt), report)
+	x.release()
 }
 
-func (x *Exchange) readServer(parse func([]byte) *balance.LoadReport) (balance.Outcome, *balance.LoadReport) {
-	end := serverEnd{outcome: balance.Reset, reason: ServerReset} // unless a last word comes
+// relayServerLines reads from the server until the exchange ends or another process continues it.
+func (x *Exchange) relayServerLines(parseReport func([]byte) *balance.LoadReport) (
+	balance.Outcome, *balance.LoadReport) {
+	result := serverResult{outcome: balance.Reset, reason: ServerReset} // without BYE or MOVE
 	for {
 		line, err := x.server.ReadLine()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			if done, outcome, report := x.handleServerTimeout(end); done {
+			if done, outcome, report := x.handleServerTimeout(result); done {
 				return outcome, report
 			}
 			continue
 		} else if err != nil {
-			return x.endServer(err, end), end.report
+			return x.handleServerEnd(err, result), result.report
 		}
 		switch string(lines.FirstWord(line)) {
 		case "BYE":
-			end = serverEnd{balance.OK, ServerEnded, parse(line)}
-			x.noteLastWord()
+			result = serverResult{balance.OK, ServerEnded, parseReport(line)}
+			x.recordFinalLine()
 		case "MOVE":
-			end.outcome, end.reason = balance.Cancelled, ServerMoved
-			x.noteLastWord()
-		case "LOAD": // no response to a message
+			result.outcome, result.reason = balance.Cancelled, ServerMoved
+			x.recordFinalLine()
+		case "LOAD": // not a response to a message
 		default:
-			x.noteResponse(time.Now())
+			x.recordResponse(time.Now())
 		}
 		if !x.sendToClient(line) {
 			return balance.Cancelled, nil
@@ -57,11 +59,11 @@
 	}
 }
 
-// sendToClient sends a line of the server's to the client. Where that fails it ends the server's side.
+// sendToClient sends a server line to the client. If that fails it resets the server's connection and returns false.
 func (x *Exchange) sendToClient(line []byte) bool {
 	if _, err := x.client.Write(line); err != nil {
 		x.mu.Lock()
-		isMoving := owed[x.state].move
+		isMoving := propertiesOf[x.state].moveRequested
 		x.end(eventEnded, ClientReset)
 		x.mu.Unlock()
 		if isMoving {
@@ -70,95 +72,97 @@
 		x.server.Reset()
 		return false
 	}
-	x.toClient.Add(1)
+	x.linesToClient.Add(1)
 	x.mu.Lock()
-	x.relayedAt = time.Now()
+	x.lastRelayedAt = time.Now()
 	x.mu.Unlock()
 	return true
 }
 
-// noteLastWord notes the server's last word: no line of the node's own follows it, so that a MOVE comes too late. The
-// server is to close soon.
-func (x *Exchange) noteLastWord() {
+// recordFinalLine is called when the server has sent BYE or MOVE. The node sends the client no MOVE after it, and the
+// server must close within Limits.CloseTimeout.
+func (x *Exchange) recordFinalLine() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.apply(eventLastWord)
-	x.lastWordAt = time.Now()
-	if x.handOver == nil {
+	x.apply(eventFinalLine)
+	x.finalLineAt = time.Now()
+	if x.handover == nil {
 		x.setServerDeadline()
 	}
 }
 
-// noteResponse notes that the oldest pending message has its response.
-func (x *Exchange) noteResponse(now time.Time) {
+// recordResponse is called when the server has responded to the oldest pending message.
+func (x *Exchange) recordResponse(receivedAt time.Time) {
 	x.mu.Lock()
-	if len(x.pending) == 0 {
+	if len(x.pendingSentAt) == 0 {
 		x.mu.Unlock()
 		return
 	}
-	sent := x.pending[0]
-	x.pending = x.pending[:copy(x.pending, x.pending[1:])]
-	if x.handOver == nil && owed[x.state].timing {
+	sentAt := x.pendingSentAt[0]
+	x.pendingSentAt = x.pendingSentAt[:copy(x.pendingSentAt, x.pendingSentAt[1:])]
+	if x.handover == nil && propertiesOf[x.state].timesResponses {
 		x.setServerDeadline()
 	}
 	x.mu.Unlock()
-	x.observer.ResponseTime(x, x.attempt.Server, now.Sub(sent))
+	x.observer.ResponseTime(x, x.attempt.Server, receivedAt.Sub(sentAt))
 }
 
-// setServerDeadline sets until when the server is read from before a pending message is reported as late, or its close
-// is overdue. x.mu is held.
+// setServerDeadline sets the read deadline of the server's connection to the time at which the oldest pending message
+// is late, or the server's close is overdue. x.mu must be held.
 func (x *Exchange) setServerDeadline() {
-	var next time.Time
-	if owed[x.state].serverClose {
-		next = x.lastWordAt.Add(x.limits.CloseTimeout)
-	} else if len(x.pending) > 0 {
-		next = x.pending[0].Add(x.limits.LateReportInterval)
+	var deadline time.Time
+	if propertiesOf[x.state].awaitsServerClose {
+		deadline = x.finalLineAt.Add(x.limits.CloseTimeout)
+	} else if len(x.pendingSentAt) > 0 {
+		deadline = x.pendingSentAt[0].Add(x.limits.LateReportInterval)
 	}
-	x.server.SetReadDeadline(next)
+	x.server.SetReadDeadline(deadline)
 }
 
-// handleServerTimeout acts on a passed read deadline of the server's connection. done tells that the side has ended.
-func (x *Exchange) handleServerTimeout(end serverEnd) (done bool, outcome balance.Outcome, report *balance.LoadReport) {
-	taken, paused := x.pauseForHandOver()
+// handleServerTimeout is called when the read deadline of the server's connection has passed. done is true if the
+// server's lines are no longer to be relayed.
+func (x *Exchange) handleServerTimeout(result serverResult) (
+	done bool, outcome balance.Outcome, report *balance.LoadReport) {
+	transferred, paused := x.pauseForHandover()
 	switch {
-	case taken:
+	case transferred:
 		return true, balance.Cancelled, nil
 	case paused:
 		return false, balance.Cancelled, nil
-	case x.owes().serverClose: // it does not close after its last word
-		return true, x.endServer(io.EOF, end), end.report
+	case x.properties().awaitsServerClose: // the server has not closed after BYE or MOVE
+		return true, x.handleServerEnd(io.EOF, result), result.report
 	}
-	done, outcome = x.handleDeadline()
+	done, outcome = x.handleRelayTimeout()
 	return done, outcome, nil
 }
 
-// handleDeadline acts on a read deadline that is neither a hand-over's nor a last word's: the client is to be moved, a
-// message has been pending for long, or the server does not close after the client has.
-func (x *Exchange) handleDeadline() (done bool, outcome balance.Outcome) {
+// handleRelayTimeout handles a timeout that was caused neither by a handover nor by an overdue close after BYE or MOVE:
+// the client is to be moved, a message has been pending for a long time, or the server has not closed after the client.
+func (x *Exchange) handleRelayTimeout() (done bool, outcome balance.Outcome) {
 	x.mu.Lock()
-	if x.handOver != nil { // it began just now: the passed deadline is to stay
+	if x.handover != nil { // a handover has just begun and relies on the expired deadline
 		x.mu.Unlock()
 		return false, balance.Cancelled
 	}
 	var age time.Duration
-	if len(x.pending) > 0 {
-		age = min(time.Since(x.pending[0]), time.Since(x.relayedAt))
+	if len(x.pendingSentAt) > 0 {
+		age = min(time.Since(x.pendingSentAt[0]), time.Since(x.lastRelayedAt))
 	}
 	switch {
 	case age >= x.limits.ResponseTimeout && x.end(eventServerSilent, ServerSilent):
 		x.mu.Unlock()
-		x.sendMove()
+		x.sendMoveAndClose()
 		return true, balance.TimedOut
-	case x.apply(eventMoveSent): // no line of the client's goes to the server after the MOVE
+	case x.apply(eventMoveSent): // no client line is sent to the server after this
 		x.mu.Unlock()
-		x.sendMove()
+		x.sendMoveAndClose()
 		return true, balance.Cancelled
-	case !owed[x.state].timing: // the client has ended, and its server has not
+	case !propertiesOf[x.state].timesResponses: // the client has ended, and the server has not closed in time
 		x.mu.Unlock()
 		x.server.Reset()
 		return true, balance.Cancelled
 	}
-	if len(x.pending) == 0 { // the deadline was that of a hand-over that failed
+	if len(x.pendingSentAt) == 0 { // the deadline was left by a failed handover
 		x.setServerDeadline()
 	} else {
 		x.server.SetReadDeadline(time.Now().Add(min(x.limits.LateReportInterval, x.limits.ResponseTimeout-age)))
@@ -170,29 +174,32 @@
 	return false, balance.Cancelled
 }
 
-// sendMove sends MOVE to the client and closes both connections.
-func (x *Exchange) sendMove() {
+// sendMoveAndClose sends MOVE to the client, and closes the sending side of its connection and the server's connection.
+func (x *Exchange) sendMoveAndClose() {
 	x.client.WriteLine("MOVE", x.limits.CloseTimeout)
 	x.closeClientWrite()
 	x.server.Close()
 }
 
-// endServer ends the client's side the way the server's has ended.
-func (x *Exchange) endServer(err error, end serverEnd) balance.Outcome {
-	outcome, reason := end.outcome, end.reason
+// handleServerEnd ends the client's connection in the same way as the server's has ended: with a close after EOF, BYE
+// or MOVE, and otherwise with a reset. It returns the outcome of the attempt.
+func (x *Exchange) handleServerEnd(err error, result serverResult) balance.Outcome {
+	outcome, reason := result.outcome, result.reason
 	x.mu.Lock()
 	if x.reason == ClientEnded && outcome != balance.OK || x.reason == ClientReset || x.reason == LineTooLong {
-		outcome = balance.Cancelled // not the server's doing
+		outcome = balance.Cancelled // not caused by the server
 	}
 	if errors.Is(err, lines.ErrTooLong) {
 		reason = LineTooLong
 	}
 	x.end(eventEnded, reason)
-	hasLastWord := owed[x.state].serverClose // a reset after it, as of a close with unread bytes, must not take it back
+	// A server that closes with unread bytes resets its connection. After BYE or MOVE the client must not be reset, as
+	// it would lose that line.
+	hasFinalLine := propertiesOf[x.state].awaitsServerClose
 	x.mu.Unlock()
-	if err == io.EOF || hasLastWord {
-		if partial := x.server.TakeBuffered(); len(partial) > 0 {
-			x.client.Write(partial)
+	if err == io.EOF || hasFinalLine {
+		if partialLine := x.server.TakeBuffered(); len(partialLine) > 0 {
+			x.client.Write(partialLine)
 		}
 		x.closeClientWrite()
 		x.server.Close()
--- a/internal/exchange/state.go
+++ b/internal/exchange/state.go
@@ -1,46 +1,46 @@
 package exchange
 
-// state is the state of an exchange. It changes only by the table of transitions, with Exchange.mu held.
+// state is the state of an exchange. It changes only according to transitions, with Exchange.mu held.
 type state uint8
 
 const (
-	stateNone           state = iota // in the table: the event does not apply
-	stateUnsent                      // the client awaits its answer; no attempt is out that may be cancelled unsent
-	stateConnecting                  // an attempt is out that has sent nothing
-	stateSent                        // an attempt is out that may run at the server
-	stateOpen                        // the server has accepted; nothing ends the connection
-	stateLastWord                    // the server has sent its last line, and is to close
-	stateMoving                      // the client is to be sent MOVE between two lines
-	stateMovingLastWord              // the server's last line has come before the MOVE, and takes its place
-	stateEnding                      // one side has ended the connection, or another process has it
-	stateEndingLastWord
-	stateClosed // answered by the node, left by the client, or ended on the server's side
+	stateNone            state = iota // no state: marks events without a transition
+	stateAwaitingAttempt              // the client awaits its answer; no attempt yet, or the latest was cancelled
+	stateConnecting                   // the client awaits its answer; the latest attempt has sent nothing
+	stateSent                         // the client awaits its answer; the server may have run the request
+	stateOpen                         // the server has accepted, and neither side has ended the connection
+	stateFinalLine                    // the server has sent BYE or MOVE, and must close
+	stateMoving                       // MOVE is to be sent to the client between two lines
+	stateMovingFinalLine              // the server has sent BYE or MOVE first: the client is not sent the node's MOVE
+	stateEnding                       // one side has ended the connection, or another process continues it
+	stateEndingFinalLine              // one side has ended the connection, and the server has sent BYE or MOVE
+	stateClosed                       // the node has answered, the client has left, or the attempt's goroutine is done
 	stateCount
 )
 
-// event is what happens to an exchange.
+// event is an event that may change the state of an exchange.
 type event uint8
 
 const (
-	eventAttemptStarted   event = iota // by the caller, which has chosen a server
-	eventSendingStarted                // by the attempt's goroutine
-	eventAttemptCancelled              // by the caller, before the attempt has sent anything
-	eventAnswered                      // by the caller: the final answer is not a server's
-	eventClientLeft                    // by the client, before its answer
-	eventAccepted                      // by the server
-	eventMoveRequested                 // by the caller
-	eventMoveSent                      // by the server's goroutine
+	eventAttemptStarted   event = iota // the caller has started an attempt
+	eventSendingStarted                // the attempt's goroutine is about to send the first line
+	eventAttemptCancelled              // the caller has cancelled the attempt before it sent anything
+	eventAnswered                      // the node, not a server, gives the final answer
+	eventClientLeft                    // the client has disconnected before its answer
+	eventAccepted                      // the server has accepted
+	eventMoveRequested                 // the caller has called Move
+	eventMoveSent                      // the attempt's goroutine is about to send MOVE to the client
 	eventServerSilent                  // no response to a message within Limits.ResponseTimeout
-	eventLastWord                      // BYE or MOVE by the server
-	eventEnded                         // by either side, or by the hand-over to another process
-	eventRelayEnded                    // the server's goroutine has no more to relay
+	eventFinalLine                     // the server has sent BYE or MOVE
+	eventEnded                         // either side has ended the connection, or it was handed over to another process
+	eventRelayEnded                    // the attempt's goroutine has stopped relaying
 	eventCount
 )
 
-// transitions gives the state after an event; stateNone where the event comes too late or does not apply. The first
-// event that ends an exchange gives its reason: later ones find no transition.
+// transitions gives the state after an event, or stateNone if the event comes too late or does not apply. The first
+// event that ends an exchange determines its reason, because later ones have no transition.
 var transitions = [stateCount][eventCount]state{
-	stateUnsent: {
+	stateAwaitingAttempt: {
 		eventAttemptStarted: stateConnecting,
 		eventAnswered:       stateClosed,
 		eventClientLeft:     stateClosed,
@@ -49,7 +49,7 @@
 	stateConnecting: {
 		eventAttemptStarted:   stateConnecting,
 		eventSendingStarted:   stateSent,
-		eventAttemptCancelled: stateUnsent,
+		eventAttemptCancelled: stateAwaitingAttempt,
 		eventAnswered:         stateClosed,
 		eventClientLeft:       stateClosed,
 		eventAccepted:         stateOpen,
@@ -63,53 +63,54 @@
 	stateOpen: {
 		eventMoveRequested: stateMoving,
 		eventServerSilent:  stateClosed,
-		eventLastWord:      stateLastWord,
+		eventFinalLine:     stateFinalLine,
 		eventEnded:         stateEnding,
 		eventRelayEnded:    stateClosed,
 	},
-	stateLastWord: {
-		eventEnded:      stateEndingLastWord,
+	stateFinalLine: {
+		eventEnded:      stateEndingFinalLine,
 		eventRelayEnded: stateClosed,
 	},
 	stateMoving: {
 		eventMoveSent:   stateClosed,
-		eventLastWord:   stateMovingLastWord,
+		eventFinalLine:  stateMovingFinalLine,
 		eventRelayEnded: stateClosed,
 	},
-	stateMovingLastWord: {
+	stateMovingFinalLine: {
 		eventRelayEnded: stateClosed,
 	},
 	stateEnding: {
-		eventLastWord:   stateEndingLastWord,
+		eventFinalLine:  stateEndingFinalLine,
 		eventRelayEnded: stateClosed,
 	},
-	stateEndingLastWord: {
+	stateEndingFinalLine: {
 		eventRelayEnded: stateClosed,
 	},
 }
 
-// obligations are what is owed in a state.
-type obligations struct {
-	answer      bool // to the client, which awaits it
-	clientLines bool // to the server: what the client sends
-	move        bool // to the client, unless the server's last word comes first
-	serverClose bool // by the server, whose last word has come
-	timing      bool // the responses to the client's messages are timed
+// stateProperties describes what is outstanding or permitted in a state.
+type stateProperties struct {
+	awaitsAnswer      bool // the client awaits its final answer
+	relaysClientLines bool // the client's lines are sent to the server
+	moveRequested     bool // Move was called: the client is sent MOVE unless the server sends BYE or MOVE first
+	awaitsServerClose bool // the server has sent BYE or MOVE, and must close
+	timesResponses    bool // the response times of the server are measured
 }
 
-var owed = [stateCount]obligations{
-	stateUnsent:         {answer: true},
-	stateConnecting:     {answer: true},
-	stateSent:           {answer: true},
-	stateOpen:           {clientLines: true, timing: true},
-	stateLastWord:       {clientLines: true, serverClose: true, timing: true},
-	stateMoving:         {clientLines: true, move: true},
-	stateMovingLastWord: {clientLines: true, move: true, serverClose: true},
-	stateEnding:         {clientLines: true},
-	stateEndingLastWord: {clientLines: true, serverClose: true},
+// propertiesOf gives the properties of each state.
+var propertiesOf = [stateCount]stateProperties{
+	stateAwaitingAttempt: {awaitsAnswer: true},
+	stateConnecting:      {awaitsAnswer: true},
+	stateSent:            {awaitsAnswer: true},
+	stateOpen:            {relaysClientLines: true, timesResponses: true},
+	stateFinalLine:       {relaysClientLines: true, awaitsServerClose: true, timesResponses: true},
+	stateMoving:          {relaysClientLines: true, moveRequested: true},
+	stateMovingFinalLine: {relaysClientLines: true, moveRequested: true, awaitsServerClose: true},
+	stateEnding:          {relaysClientLines: true},
+	stateEndingFinalLine: {relaysClientLines: true, awaitsServerClose: true},
 }
 
-// apply changes the state by an event, and returns false where there is no transition. x.mu is held.
+// apply changes the state according to an event. It returns false if there is no transition. x.mu must be held.
 func (x *Exchange) apply(e event) bool {
 	next := transitions[x.state][e]
 	if next == stateNone {
@@ -119,8 +120,8 @@
 	return true
 }
 
-// end changes the state by an event that ends the exchange, for a reason. It returns false where something else has
-// ended it before. x.mu is held.
+// end changes the state according to an event that ends the exchange, and sets the reason. It returns false if the
+// exchange has already ended or the event does not apply. x.mu must be held.
 func (x *Exchange) end(e event, reason Reason) bool {
 	ended := x.apply(e)
 	if ended {
@@ -129,14 +130,14 @@
 	return ended
 }
 
-// owes returns what is owed now.
-func (x *Exchange) owes() obligations {
+// properties returns the properties of the current state.
+func (x *Exchange) properties() stateProperties {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return owed[x.state]
+	return propertiesOf[x.state]
 }
 
-// isOpen reports whether the connection is open and nothing ends it.
+// isOpen reports whether a server has accepted and neither side has ended the connection.
 func (x *Exchange) isOpen() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/exchange/state_test.go
+++ b/internal/exchange/state_test.go
@@ -6,14 +6,14 @@
 func TestTransitionsEndOnce(t *testing.T) {
 	for s := stateNone; s < stateCount; s++ {
 		for _, e := range []event{eventAnswered, eventClientLeft} {
-			checkEndsFrom(t, s, e, owed[s].answer)
+			checkEndsFrom(t, s, e, propertiesOf[s].awaitsAnswer)
 		}
-		if !owed[s].timing {
+		if !propertiesOf[s].timesResponses {
 			for _, e := range []event{eventMoveRequested, eventServerSilent, eventEnded} {
 				checkEndsFrom(t, s, e, false)
 			}
 		}
-		if relays := owed[s].clientLines; (transitions[s][eventRelayEnded] == stateClosed) != relays {
+		if relays := propertiesOf[s].relaysClientLines; (transitions[s][eventRelayEnded] == stateClosed) != relays {
 			t.Errorf("state %d: its server's side cannot end", s)
 		}
 	}
@@ -32,7 +32,7 @@
 	if (next != stateNone) != applies {
 		t.Errorf("state %d, event %d: it applies: %v", s, e, !applies)
 	}
-	if owed[next].answer || owed[next].timing {
+	if propertiesOf[next].awaitsAnswer || propertiesOf[next].timesResponses {
 		t.Errorf("state %d, event %d: it has not ended", s, e)
 	}
 }
