--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -14,86 +14,91 @@
 	"brassmux/internal/lines"
 )
 
-type discardSink struct{}
+// noopObserver ignores all events.
+type noopObserver struct{}
 
-func (discardSink) ClientLeft(*Exchange)                              {}
-func (discardSink) AttemptAccepted(*Exchange, Attempt, time.Duration) {}
-func (discardSink) AttemptEnded(*Exchange, Attempt, balance.Outcome, time.Duration, *balance.LoadReport) {
+func (noopObserver) ClientLeft(*Exchange)                              {}
+func (noopObserver) AttemptAccepted(*Exchange, Attempt, time.Duration) {}
+func (noopObserver) AttemptEnded(*Exchange, Attempt, balance.Outcome, time.Duration, *balance.LoadReport) {
 }
-func (discardSink) ResponseTime(*Exchange, balance.ServerID, time.Duration) {}
+func (noopObserver) ResponseTime(*Exchange, balance.ServerID, time.Duration) {}
 
-// pair returns both ends of a connection.
-func pair(t *testing.T) (near *lines.Conn, far net.Conn) {
+// connPair returns both ends of a new TCP connection.
+func connPair(t *testing.T) (local *lines.Conn, remote net.Conn) {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	if far, err = net.Dial("tcp", l.Addr().String()); err != nil {
+	defer listener.Close()
+	if remote, err = net.Dial("tcp", listener.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
-	c, err := l.Accept()
+	conn, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close(); far.Close() })
-	return lines.New(c.(*net.TCPConn)), far
+	t.Cleanup(func() { conn.Close(); remote.Close() })
+	return lines.New(conn.(*net.TCPConn)), remote
 }
 
-// The node's loop calls exchanges, and must not wait for a client that does not read.
-func TestClientThatDoesNotReadBlocksNoCaller(t *testing.T) {
-	client, _ := pair(t)
-	server, _ := pair(t)
-	for size := 1 << 16; size > 0; size /= 2 { // until not a byte more goes out
+// The node calls AwaitsAnswer and Move in its event loop, which must not wait for a client that does not read. Here
+// Accept is blocked in its write to such a client.
+func TestStalledClientDoesNotBlockCaller(t *testing.T) {
+	client, _ := connPair(t)
+	server, _ := connPair(t)
+	for size := 1 << 16; size > 0; size /= 2 { // until the send buffer is full to the last byte
 		for err := error(nil); err == nil; {
 			client.SetWriteDeadline(time.Now().Add(20 * time.Millisecond))
 			_, err = client.Write(make([]byte, size))
 		}
 	}
 	client.SetWriteDeadline(time.Time{})
-	x := New(&Head{Timeout: time.Minute}, client, &ClassCounters{}, discardSink{}, Limits{CloseTimeout: time.Minute},
+	x := New(&Head{Timeout: time.Minute}, client, &ClassCounters{}, noopObserver{}, Limits{CloseTimeout: time.Minute},
 		zap.NewNop())
 	x.StartAttempt(Attempt{}, func() {})
 	go x.Accept(server, []byte("UP r\r\n"), func([]byte) *balance.LoadReport { return nil })
-	answered := make(chan bool)
+	done := make(chan bool)
 	go func() {
 		for x.AwaitsAnswer() {
 			time.Sleep(time.Millisecond)
 		}
 		x.Move()
-		close(answered)
+		close(done)
 	}()
 	select {
-	case <-answered:
+	case <-done:
 	case <-time.After(10 * time.Second):
-		t.Error("it is held up")
+		t.Error("AwaitsAnswer or Move is blocked")
 	}
 }
 
-// acceptedSink calls a function when a server has accepted, before what that sends is read.
-type acceptedSink struct {
-	discardSink
-	accepted func()
+// acceptObserver calls a function when a server has accepted, before the server's further lines are read.
+type acceptObserver struct {
+	noopObserver
+	onAccepted func()
 }
 
-func (s acceptedSink) AttemptAccepted(*Exchange, Attempt, time.Duration) { s.accepted() }
+func (o acceptObserver) AttemptAccepted(*Exchange, Attempt, time.Duration) { o.onAccepted() }
 
-// The server's last word has come and waits to be relayed as the client is to be moved.
-func TestNothingFollowsLastWord(t *testing.T) {
-	for _, word := range []string{"BYE\r\n", "MOVE\r\n"} {
-		for name, before := range map[string]bool{"the move first": true, "the word first": false} {
-			t.Run(word[:len(word)-2]+", "+name, func(t *testing.T) { checkNothingFollowsLastWord(t, word, before) })
+// The node decides to move a client around the time that the server sends BYE or MOVE. The client must receive only the
+// server's line, and not the node's MOVE after it.
+func TestNothingFollowsFinalLine(t *testing.T) {
+	for _, finalLine := range []string{"BYE\r\n", "MOVE\r\n"} {
+		for name, moveFirst := range map[string]bool{"move before it": true, "move after it": false} {
+			t.Run(finalLine[:len(finalLine)-2]+", "+name, func(t *testing.T) {
+				checkNothingFollowsFinalLine(t, finalLine, moveFirst)
+			})
 		}
 	}
 }
 
-// checkNothingFollowsLastWord moves the client before or after the server's last word is relayed.
-func checkNothingFollowsLastWord(t *testing.T, word string, before bool) {
+// checkNothingFollowsFinalLine calls Move before or after the server's BYE or MOVE is relayed to the client.
+func checkNothingFollowsFinalLine(t *testing.T, finalLine string, moveFirst bool) {
 	t.Helper()
-	client, farClient := pair(t)
-	server, farServer := pair(t)
-	io.WriteString(farServer, "UP r\r\n"+word) // and does not close
+	client, remoteClient := connPair(t)
+	server, remoteServer := connPair(t)
+	io.WriteString(remoteServer, "UP r\r\n"+finalLine) // the server does not close afterwards
 	line, err := server.ReadLine()
 	if err != nil {
 		t.Fatal(err)
@@ -104,143 +109,147 @@
 		ResponseTimeout:    time.Minute,
 		LateReportInterval: time.Minute,
 	}
-	x = New(&Head{Timeout: time.Minute}, client, &ClassCounters{}, acceptedSink{accepted: func() {
-		if before {
+	x = New(&Head{Timeout: time.Minute}, client, &ClassCounters{}, acceptObserver{onAccepted: func() {
+		if moveFirst {
 			x.Move()
 		}
 	}}, limits, zap.NewNop())
 	x.StartAttempt(Attempt{}, func() {})
 	go x.RelayClient()
-	go x.Accept(server, line, noReport)
-	farClient.SetDeadline(time.Now().Add(10 * time.Second))
-	in := bufio.NewReader(farClient)
-	for _, want := range []string{"UP r\r\n", word} {
-		if got, err := in.ReadString('\n'); got != want {
-			t.Fatalf("got %q, %v", got, err)
+	go x.Accept(server, line, parseNoReport)
+	remoteClient.SetDeadline(time.Now().Add(10 * time.Second))
+	reader := bufio.NewReader(remoteClient)
+	for _, want := range []string{"UP r\r\n", finalLine} {
+		if got, err := reader.ReadString('\n'); got != want {
+			t.Fatalf("client received %q, %v", got, err)
 		}
 	}
-	if !before && x.Move() {
-		t.Error("it was moved after its end")
+	if !moveFirst && x.Move() {
+		t.Error("Move returned true after the server's final line")
 	}
-	if more, err := io.ReadAll(in); len(more) > 0 || err != nil {
-		t.Errorf("%q, %v followed", more, err)
+	if rest, err := io.ReadAll(reader); len(rest) > 0 || err != nil {
+		t.Errorf("client received %q, %v after the final line", rest, err)
 	}
 }
 
-// leftSink counts the clients that left.
-type leftSink struct {
-	discardSink
+// departureObserver counts the clients that disconnected before their answer.
+type departureObserver struct {
+	noopObserver
 	count *atomic.Int64
 }
 
-func (l leftSink) ClientLeft(*Exchange) { l.count.Add(1) }
+func (c departureObserver) ClientLeft(*Exchange) { c.count.Add(1) }
 
-// The client's goroutine has not read yet how its client left; nothing is sent all the same. What a client that is
-// there writes is not taken from that goroutine.
-func TestNothingIsSentForClientThatHasLeft(t *testing.T) {
-	for name, c := range map[string]struct {
-		act   func(farClient *net.TCPConn)
-		sends bool
+// A client disconnects just before an attempt sends its first line, and the client's goroutine has not read the end of
+// the connection yet. The attempt must detect it and send nothing, without consuming lines of a connected client.
+func TestAttemptSendsNothingAfterClientLeft(t *testing.T) {
+	for name, test := range map[string]struct {
+		act      func(remoteClient *net.TCPConn)
+		wantSent bool
 	}{
-		"closes":                  {func(c *net.TCPConn) { c.Close() }, false},
-		"ends its sending":        {func(c *net.TCPConn) { c.CloseWrite() }, false},
-		"breaks":                  {func(c *net.TCPConn) { c.SetLinger(0); c.Close() }, false},
-		"writes early and closes": {func(c *net.TCPConn) { io.WriteString(c, "a\r\n"); c.Close() }, false},
-		"writes early and ends its sending": {func(c *net.TCPConn) {
+		"close":             {func(c *net.TCPConn) { c.Close() }, false},
+		"half-close":        {func(c *net.TCPConn) { c.CloseWrite() }, false},
+		"reset":             {func(c *net.TCPConn) { c.SetLinger(0); c.Close() }, false},
+		"early line, close": {func(c *net.TCPConn) { io.WriteString(c, "a\r\n"); c.Close() }, false},
+		"early line, half-close": {func(c *net.TCPConn) {
 			io.WriteString(c, "a\r\n")
 			c.CloseWrite()
 		}, false},
-		"is there":     {func(*net.TCPConn) {}, true},
-		"writes early": {func(c *net.TCPConn) { io.WriteString(c, "a\r\n") }, true},
+		"connected":  {func(*net.TCPConn) {}, true},
+		"early line": {func(c *net.TCPConn) { io.WriteString(c, "a\r\n") }, true},
 	} {
-		t.Run(name, func(t *testing.T) { checkSendsOnlyForPresentClient(t, c.act, c.sends, name == "writes early") })
+		t.Run(name, func(t *testing.T) { checkStartSending(t, test.act, test.wantSent, name == "early line") })
 	}
 }
 
-// checkSendsOnlyForPresentClient has a client act before an attempt is to send its first line.
-func checkSendsOnlyForPresentClient(t *testing.T, act func(farClient *net.TCPConn), sends, hasLine bool) {
+// checkStartSending calls act for the client and then checks whether StartSending permits an attempt to send. wantLine
+// is true if act sends a line that the client's goroutine must still be able to read.
+func checkStartSending(t *testing.T, act func(remoteClient *net.TCPConn), wantSent, wantLine bool) {
 	t.Helper()
-	client, far := pair(t)
-	farClient := far.(*net.TCPConn)
-	var leftCount atomic.Int64
-	x := New(&Head{Timeout: time.Minute}, client, &ClassCounters{}, leftSink{count: &leftCount},
+	client, remote := connPair(t)
+	remoteClient := remote.(*net.TCPConn)
+	var departures atomic.Int64
+	x := New(&Head{Timeout: time.Minute}, client, &ClassCounters{}, departureObserver{count: &departures},
 		Limits{CloseTimeout: time.Minute}, zap.NewNop())
-	cancelled := 0
-	x.StartAttempt(Attempt{}, func() { cancelled++ })
-	act(farClient)
-	wantLeft := int64(0)
-	if !sends {
-		awaitPeerClosed(t, client)
-		wantLeft = 1
+	cancellations := 0
+	x.StartAttempt(Attempt{}, func() { cancellations++ })
+	act(remoteClient)
+	wantDepartures := int64(0)
+	if !wantSent {
+		waitForPeerClosed(t, client)
+		wantDepartures = 1
 	}
-	if x.StartSending() != sends || leftCount.Load() != wantLeft || int64(cancelled) != wantLeft ||
-		x.AwaitsAnswer() != sends {
-		t.Errorf("it is sent; %d have left, %d attempts are cancelled", leftCount.Load(), cancelled)
+	if x.StartSending() != wantSent || departures.Load() != wantDepartures || int64(cancellations) != wantDepartures ||
+		x.AwaitsAnswer() != wantSent {
+		t.Errorf("wrong result of StartSending or AwaitsAnswer, or of %d calls to ClientLeft and %d to cancel",
+			departures.Load(), cancellations)
 	}
-	if hasLine {
+	if wantLine {
 		if line, err := client.ReadLine(); string(line) != "a\r\n" {
-			t.Errorf("got %q, %v", line, err)
+			t.Errorf("client's goroutine read %q, %v", line, err)
 		}
 	}
-	farClient.Close()
+	remoteClient.Close()
 	x.EndAttempt()
 	x.RelayClient()
-	if leftCount.Load() != 1 {
-		t.Errorf("it has left %d times", leftCount.Load())
+	if departures.Load() != 1 {
+		t.Errorf("ClientLeft was called %d times, want 1", departures.Load())
 	}
 }
 
-// awaitPeerClosed waits until the end of a connection has reached the kernel.
-func awaitPeerClosed(t *testing.T, c *lines.Conn) {
+// waitForPeerClosed waits until the kernel has received the end of a connection.
+func waitForPeerClosed(t *testing.T, conn *lines.Conn) {
 	t.Helper()
-	for end := time.Now().Add(10 * time.Second); !c.IsPeerClosed(); {
-		if time.Now().After(end) {
-			t.Fatal("its leaving is not seen")
+	for deadline := time.Now().Add(10 * time.Second); !conn.IsPeerClosed(); {
+		if time.Now().After(deadline) {
+			t.Fatal("IsPeerClosed remains false")
 		}
 	}
 }
 
-// An answer that was given arrives, also where the client ends its sending in the same moment: it still reads.
-func TestGivenAnswerArrives(t *testing.T) {
-	given := 0
+// A client that closes its sending side still reads. It must receive its answer even if it does so at the moment that
+// the answer is given, when its goroutine returns before the answer is written.
+func TestAnswerArrivesDespiteHalfClose(t *testing.T) {
+	answerCount := 0
 	for range 2000 {
-		client, far := pair(t)
-		x := New(&Head{Timeout: time.Minute}, client, &ClassCounters{}, discardSink{},
+		client, remote := connPair(t)
+		x := New(&Head{Timeout: time.Minute}, client, &ClassCounters{}, noopObserver{},
 			Limits{CloseTimeout: time.Minute}, zap.NewNop())
 		ended := make(chan struct{})
 		go func() {
 			x.RelayClient()
 			close(ended)
 		}()
-		go far.(*net.TCPConn).CloseWrite()
+		go remote.(*net.TCPConn).CloseWrite()
 		answered := x.Answer(Rejected, "BUSY")
-		far.SetReadDeadline(time.Now().Add(10 * time.Second))
-		got, err := io.ReadAll(far)
+		remote.SetReadDeadline(time.Now().Add(10 * time.Second))
+		got, err := io.ReadAll(remote)
 		if answered && (string(got) != "BUSY\r\n" || err != nil) {
-			t.Fatalf("after %d answers that arrived: got %q, %v", given, got, err)
+			t.Fatalf("after %d received answers: client received %q, %v", answerCount, got, err)
 		} else if answered {
-			given++
+			answerCount++
 		}
 		<-ended
 	}
-	if given == 0 {
-		t.Error("no answer was given")
+	if answerCount == 0 {
+		t.Error("each client left before its answer: nothing was tested")
 	}
 }
 
-// Once a client is sent MOVE, nothing of it goes to its server any more: it would be lost there.
-func TestNothingIsRelayedAfterMove(t *testing.T) {
+// A client's line that is relayed after the client was sent MOVE would be lost, since the connection to the server is
+// closed.
+func TestNoClientLineIsRelayedAfterMove(t *testing.T) {
 	for range 300 {
-		client, farClient := pair(t)
-		server, far := pair(t)
-		io.WriteString(far, "UP r\r\n")
+		client, remoteClient := connPair(t)
+		server, remoteServer := connPair(t)
+		io.WriteString(remoteServer, "UP r\r\n")
 		line, err := server.ReadLine()
 		if err != nil {
 			t.Fatal(err)
 		}
 		accepted := make(chan struct{})
 		x := New(&Head{Timeout: time.Minute}, client, &ClassCounters{},
-			acceptedSink{accepted: func() { close(accepted) }},
+			acceptObserver{onAccepted: func() { close(accepted) }},
 			Limits{CloseTimeout: time.Second, ResponseTimeout: time.Minute, LateReportInterval: time.Minute},
 			zap.NewNop())
 		x.StartAttempt(Attempt{}, func() {})
@@ -249,23 +258,23 @@
 			x.RelayClient()
 			close(ended)
 		}()
-		go x.Accept(server, line, noReport)
+		go x.Accept(server, line, parseNoReport)
 		<-accepted
 		x.Move()
-		in := bufio.NewReader(farClient)
-		farClient.SetDeadline(time.Now().Add(10 * time.Second))
+		reader := bufio.NewReader(remoteClient)
+		remoteClient.SetDeadline(time.Now().Add(10 * time.Second))
 		for _, want := range []string{"UP r\r\n", "MOVE\r\n"} {
-			if got, err := in.ReadString('\n'); got != want {
-				t.Fatalf("got %q, %v", got, err)
+			if got, err := reader.ReadString('\n'); got != want {
+				t.Fatalf("client received %q, %v", got, err)
 			}
 		}
 		x.mu.Lock()
-		passes := propertiesOf[x.state].relaysClientLines
+		relays := propertiesOf[x.state].relaysClientLines
 		x.mu.Unlock()
-		if passes {
-			t.Fatal("a line of the client's would be relayed after its MOVE")
+		if relays {
+			t.Fatal("client lines are relayed after MOVE")
 		}
-		farClient.Close()
+		remoteClient.Close()
 		<-ended
 	}
 }
--- a/internal/exchange/golden_test.go
+++ b/internal/exchange/golden_test.go
@@ -9,6 +9,7 @@
 	"time"
 )
 
+// checkGolden compares a text with the contents of a file in testdata.
 func checkGolden(t *testing.T, file, got string) {
 	t.Helper()
 	want, err := os.ReadFile("testdata/" + file)
@@ -20,7 +21,7 @@
 	}
 }
 
-// The codes of log lines, in testdata/codes.txt.
+// testdata/codes.txt has the codes of log lines, which must not change.
 func TestGoldenCodes(t *testing.T) {
 	var got strings.Builder
 	for _, code := range []Reason{Rejected, Failed, ClientLeft, ClientEnded, ClientReset, ServerEnded, ServerMoved,
@@ -30,7 +31,7 @@
 	checkGolden(t, "codes.txt", got.String())
 }
 
-// What first lines are read as, and what is sent to a server with 1.5 s left, in testdata/heads.txt.
+// testdata/heads.txt has the result of parsing each first line, and the line that is sent to a server with 1.5 s left.
 func TestGoldenHeads(t *testing.T) {
 	var got strings.Builder
 	for _, line := range []string{
@@ -40,18 +41,18 @@
 		"OPEN " + strings.Repeat("i", 128) + " b c=x,d=9\r\n", "OPEN " + strings.Repeat("i", 129) + " b c=x,d=9\r\n",
 		"open a b c=x,d=5\r\n", "OPEN a b c=x,d=5\n", "OPEN a b c=x\r\n", "STATS\r\n", "",
 	} {
-		h, err := ParseHead([]byte(line))
+		head, err := ParseHead([]byte(line))
 		if err != nil {
 			fmt.Fprintf(&got, "%q: error %q\n", line, err)
 			continue
 		}
 		var sent bytes.Buffer
-		buffers := h.WithTimeout(1500 * time.Millisecond)
+		buffers := head.WithTimeout(1500 * time.Millisecond)
 		if _, err := buffers.WriteTo(&sent); err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&got, "%q: %q %q %q %q %q %v %v sent %q\n",
-			line, h.ID, h.Key, h.Class, h.Group, h.PreviousServer, h.IsRepeat, h.Timeout, sent.Bytes())
+		fmt.Fprintf(&got, "%q: %q %q %q %q %q %v %v sent %q\n", line, head.ID, head.Key, head.Class, head.Group,
+			head.PreviousServer, head.IsRepeat, head.Timeout, sent.Bytes())
 	}
 	checkGolden(t, "heads.txt", got.String())
 }
--- a/internal/exchange/handover_test.go
+++ b/internal/exchange/handover_test.go
@@ -13,214 +13,224 @@
 	"brassmux/balance"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// duplicate returns a socket of its own for the same connection, as another process gets.
-func duplicate(t *testing.T, c *net.TCPConn) *net.TCPConn {
+// duplicate returns a duplicate of a connection's descriptor, as another process receives in a handover.
+func duplicate(t *testing.T, conn *net.TCPConn) *net.TCPConn {
 	t.Helper()
-	f, err := c.File()
+	file, err := conn.File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
-	again, err := net.FileConn(f)
+	defer file.Close()
+	duplicated, err := net.FileConn(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { again.Close() })
-	return again.(*net.TCPConn)
+	t.Cleanup(func() { duplicated.Close() })
+	return duplicated.(*net.TCPConn)
 }
 
-func noReport([]byte) *balance.LoadReport { return nil }
+// parseNoReport parses lines that have no load report.
+func parseNoReport([]byte) *balance.LoadReport { return nil }
 
-var someLimits = Limits{ResponseTimeout: time.Minute, LateReportInterval: time.Minute, CloseTimeout: time.Second}
+var testLimits = Limits{ResponseTimeout: time.Minute, LateReportInterval: time.Minute, CloseTimeout: time.Second}
 
-// newOpenExchange returns an open one, with the far ends of both connections; done is closed when it has ended.
-func newOpenExchange(t *testing.T, sink Observer) (x *Exchange, client, server *net.TCPConn, done chan struct{}) {
+// newOpenExchange returns an exchange with an open connection, and the remote ends of its client's and server's
+// connections. ended is closed when RelayClient has returned.
+func newOpenExchange(t *testing.T, observer Observer) (x *Exchange, client, server *net.TCPConn, ended chan struct{}) {
 	t.Helper()
 	head, err := ParseHead([]byte("OPEN id key c=chat,d=2000\r\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	nearClient, farClient := pair(t)
-	nearServer, farServer := pair(t)
-	client, server = farClient.(*net.TCPConn), farServer.(*net.TCPConn)
-	client.SetDeadline(time.Now().Add(patience))
-	server.SetDeadline(time.Now().Add(patience))
-	x = New(head, nearClient, &ClassCounters{}, sink, someLimits, zap.NewNop())
+	localClient, remoteClient := connPair(t)
+	localServer, remoteServer := connPair(t)
+	client, server = remoteClient.(*net.TCPConn), remoteServer.(*net.TCPConn)
+	client.SetDeadline(time.Now().Add(testTimeout))
+	server.SetDeadline(time.Now().Add(testTimeout))
+	x = New(head, localClient, &ClassCounters{}, observer, testLimits, zap.NewNop())
 	if !x.StartAttempt(Attempt{Server: 7, Addr: "there"}, func() {}) {
-		t.Fatal("not waiting")
+		t.Fatal("StartAttempt returned false for a new exchange")
 	}
-	go x.Accept(nearServer, []byte("UP r\r\n"), noReport)
-	hear(t, client, "UP r\r\n")
-	done = make(chan struct{})
+	go x.Accept(localServer, []byte("UP r\r\n"), parseNoReport)
+	mustRead(t, client, "UP r\r\n")
+	ended = make(chan struct{})
 	go func() {
 		x.RelayClient()
-		close(done)
+		close(ended)
 	}()
-	return x, client, server, done
+	return x, client, server, ended
 }
 
-func hear(t *testing.T, c net.Conn, want string) {
+// mustRead reads len(want) bytes and fails the test if they differ from want.
+func mustRead(t *testing.T, conn net.Conn, want string) {
 	t.Helper()
 	got := make([]byte, len(want))
-	if _, err := io.ReadFull(c, got); err != nil || string(got) != want {
+	if _, err := io.ReadFull(conn, got); err != nil || string(got) != want {
 		t.Fatalf("got %q, %v, want %q", got, err, want)
 	}
 }
 
-func say(t *testing.T, c net.Conn, text string) {
+func mustWrite(t *testing.T, conn net.Conn, text string) {
 	t.Helper()
-	if _, err := io.WriteString(c, text); err != nil {
+	if _, err := io.WriteString(conn, text); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// recordingSink records the responses to messages and the ends.
-type recordingSink struct {
-	discardSink
-	message chan struct{}
-	closed  chan balance.Outcome
+// recordingObserver records the responses to messages, and the outcomes of attempts.
+type recordingObserver struct {
+	noopObserver
+	responses chan struct{}
+	outcomes  chan balance.Outcome
 }
 
-func (s recordingSink) ResponseTime(*Exchange, balance.ServerID, time.Duration) {
-	s.message <- struct{}{}
+func (o recordingObserver) ResponseTime(*Exchange, balance.ServerID, time.Duration) {
+	o.responses <- struct{}{}
 }
-func (s recordingSink) AttemptEnded(_ *Exchange, _ Attempt, o balance.Outcome, _ time.Duration, _ *balance.LoadReport) {
-	s.closed <- o
+
+func (o recordingObserver) AttemptEnded(_ *Exchange, _ Attempt, outcome balance.Outcome, _ time.Duration,
+	_ *balance.LoadReport) {
+	o.outcomes <- outcome
 }
 
-func newRecordingSink() recordingSink {
-	return recordingSink{message: make(chan struct{}, 100), closed: make(chan balance.Outcome, 100)}
+func newRecordingObserver() recordingObserver {
+	return recordingObserver{responses: make(chan struct{}, 100), outcomes: make(chan balance.Outcome, 100)}
 }
 
-// A connection is handed over at every byte of a line, both ways: nothing is lost, doubled or cut.
+// A handover in the middle of a line must not lose, duplicate or split the line. It is tested at each byte of a line in
+// both directions.
 func TestHandOverAtEveryByte(t *testing.T) {
-	for cut := range len(question) + 1 {
-		checkHandOverAt(t, cut)
+	for split := range len(question) + 1 {
+		checkHandOverAt(t, split)
 	}
 }
 
 const question, answer = "a question\r\n", "its answer\r\n"
 
-// checkHandOverAt hands a connection over when both sides have sent cut bytes of a line.
-func checkHandOverAt(t *testing.T, cut int) {
+// checkHandOverAt hands a connection over after client and server have each sent the first split bytes of a line.
+func checkHandOverAt(t *testing.T, split int) {
 	t.Helper()
-	sink := newRecordingSink()
-	x, client, server, done := newOpenExchange(t, sink)
-	say(t, client, question[:cut])
-	say(t, server, answer[:cut])
-	if cut == len(question) { // whole lines are relayed here
-		hear(t, server, question)
-		hear(t, client, answer)
+	observer := newRecordingObserver()
+	x, client, server, ended := newOpenExchange(t, observer)
+	mustWrite(t, client, question[:split])
+	mustWrite(t, server, answer[:split])
+	if split == len(question) { // complete lines are relayed before the handover
+		mustRead(t, server, question)
+		mustRead(t, client, answer)
 	}
-	var s *OpenConnection
-	var nearClient, nearServer *net.TCPConn
-	for !x.HandOver(patience, func(st *OpenConnection, c, s2 *net.TCPConn) bool {
-		s, nearClient, nearServer = st, duplicate(t, c), duplicate(t, s2)
+	var conn *OpenConnection
+	var successorClient, successorServer *net.TCPConn
+	for !x.HandOver(testTimeout, func(handedOver *OpenConnection, client, server *net.TCPConn) bool {
+		conn, successorClient, successorServer = handedOver, duplicate(t, client), duplicate(t, server)
 		return true
 	}) {
 	}
-	<-done // the old process has released it
-	if got := <-sink.closed; got != balance.Cancelled {
-		t.Errorf("cut at %d: the old process says %v", cut, got)
+	<-ended
+	if got := <-observer.outcomes; got != balance.Cancelled {
+		t.Errorf("split at %d: outcome in the predecessor is %v, want Cancelled", split, got)
 	}
-	head, err := ParseHead(s.FirstLine)
-	if err != nil || s.Server != 7 || s.Addr != "there" {
-		t.Fatalf("cut at %d: %+v, %v", cut, s, err)
+	head, err := ParseHead(conn.FirstLine)
+	if err != nil || conn.Server != 7 || conn.Addr != "there" {
+		t.Fatalf("split at %d: handed over %+v, %v", split, conn, err)
 	}
-	after := newRecordingSink()
-	y := NewInherited(s, head, nearClient, nearServer, &ClassCounters{}, after, someLimits, zap.NewNop())
-	ended := make(chan struct{})
-	go y.RelayServer(noReport)
+	successorObserver := newRecordingObserver()
+	successor := NewInherited(conn, head, successorClient, successorServer, &ClassCounters{}, successorObserver,
+		testLimits, zap.NewNop())
+	successorEnded := make(chan struct{})
+	go successor.RelayServer(parseNoReport)
 	go func() {
-		y.RelayClient()
-		close(ended)
+		successor.RelayClient()
+		close(successorEnded)
 	}()
-	say(t, client, question[cut:]+"next\r\n")
-	say(t, server, answer[cut:]+"last\r\n")
-	if cut < len(question) {
-		hear(t, server, question)
-		hear(t, client, answer)
+	mustWrite(t, client, question[split:]+"next\r\n")
+	mustWrite(t, server, answer[split:]+"last\r\n")
+	if split < len(question) {
+		mustRead(t, server, question)
+		mustRead(t, client, answer)
 	}
-	hear(t, server, "next\r\n")
-	hear(t, client, "last\r\n")
-	say(t, server, "BYE\r\n")
+	mustRead(t, server, "next\r\n")
+	mustRead(t, client, "last\r\n")
+	mustWrite(t, server, "BYE\r\n")
 	server.Close()
-	hear(t, client, "BYE\r\n")
+	mustRead(t, client, "BYE\r\n")
 	client.Close()
-	<-ended
-	if got := <-after.closed; got != balance.OK {
-		t.Errorf("cut at %d: the new process says %v", cut, got)
+	<-successorEnded
+	if got := <-successorObserver.outcomes; got != balance.OK {
+		t.Errorf("split at %d: outcome in the successor is %v, want OK", split, got)
 	}
 }
 
-// What the other process does not take continues here, at once.
-func TestFailedHandOverChangesNothing(t *testing.T) {
-	sink := newRecordingSink()
-	x, client, server, done := newOpenExchange(t, sink)
-	say(t, client, "hal")
+// A connection that the other process does not accept must continue in this process without a delay.
+func TestFailedHandOverContinuesConnection(t *testing.T) {
+	observer := newRecordingObserver()
+	x, client, server, ended := newOpenExchange(t, observer)
+	mustWrite(t, client, "hal")
 	sendCalls := 0
 	for range 3 {
-		if x.HandOver(patience, func(*OpenConnection, *net.TCPConn, *net.TCPConn) bool { sendCalls++; return false }) {
-			t.Error("it is said to be taken")
+		if x.HandOver(testTimeout,
+			func(*OpenConnection, *net.TCPConn, *net.TCPConn) bool { sendCalls++; return false }) {
+			t.Error("HandOver returned true although send returned false")
 		}
 	}
 	if sendCalls != 3 {
-		t.Errorf("sendCalls %d times", sendCalls)
+		t.Errorf("send was called %d times, want 3", sendCalls)
 	}
-	say(t, client, "f\r\n")
-	hear(t, server, "half\r\n")
-	say(t, server, "whole\r\n")
-	hear(t, client, "whole\r\n")
-	<-sink.message
+	mustWrite(t, client, "f\r\n")
+	mustRead(t, server, "half\r\n")
+	mustWrite(t, server, "whole\r\n")
+	mustRead(t, client, "whole\r\n")
+	<-observer.responses
 	if !x.Move() {
-		t.Error("it can't be moved any more")
+		t.Error("Move returned false after failed handovers")
 	}
-	hear(t, client, "MOVE\r\n")
+	mustRead(t, client, "MOVE\r\n")
 	client.Close()
-	<-done
+	<-ended
 }
 
-// While a write waits for a slow reader a line is half out, and can't be cut there.
-func TestHandOverFailsWithSlowReader(t *testing.T) {
-	x, client, server, _ := newOpenExchange(t, newRecordingSink())
+// While a write waits for a slow reader only part of a line may have been sent, so that the connection cannot be handed
+// over. HandOver must fail after its timeout, and the connection must continue.
+func TestHandOverTimesOutOnSlowReader(t *testing.T) {
+	x, client, server, _ := newOpenExchange(t, newRecordingObserver())
 	server.SetWriteDeadline(time.Now().Add(200 * time.Millisecond))
 	line := strings.Repeat("x", 4000) + "\r\n"
-	sent := 0
+	sentLines := 0
 	for { // until all buffers are full
 		if _, err := io.WriteString(server, line); err != nil {
 			break
 		}
-		sent++
+		sentLines++
 	}
 	if x.HandOver(50*time.Millisecond, func(*OpenConnection, *net.TCPConn, *net.TCPConn) bool {
-		t.Error("it was cut in the middle")
+		t.Error("send was called while a line was partly sent")
 		return false
 	}) {
-		t.Error("handed over")
+		t.Error("HandOver returned true while a line was partly sent")
 	}
-	in := bufio.NewReaderSize(client, 8192)
-	for range sent {
-		if got, err := in.ReadString('\n'); got != line {
-			t.Fatalf("got %d bytes, %v", len(got), err)
+	reader := bufio.NewReaderSize(client, 8192)
+	for range sentLines {
+		if got, err := reader.ReadString('\n'); got != line {
+			t.Fatalf("client received a line of %d bytes, %v", len(got), err)
 		}
 	}
 }
 
-// Pending messages are timed on: a server that is silent across an upgrade is still noticed.
-func TestSilenceIsCountedAcrossHandOver(t *testing.T) {
-	x, client, server, _ := newOpenExchange(t, newRecordingSink())
-	say(t, client, "anyone?\r\n")
-	hear(t, server, "anyone?\r\n")
-	var s *OpenConnection
-	var a, b *net.TCPConn
-	for !x.HandOver(patience, func(st *OpenConnection, c, s2 *net.TCPConn) bool {
-		s, a, b = st, duplicate(t, c), duplicate(t, s2)
-		return len(st.PendingAges) == 1
+// The ages of pending messages must survive a handover, so that the response timeout detects a server that stops
+// responding during an upgrade.
+func TestHandOverKeepsAgesOfPendingMessages(t *testing.T) {
+	x, client, server, _ := newOpenExchange(t, newRecordingObserver())
+	mustWrite(t, client, "anyone?\r\n")
+	mustRead(t, server, "anyone?\r\n")
+	var conn *OpenConnection
+	var successorClient, successorServer *net.TCPConn
+	for !x.HandOver(testTimeout, func(handedOver *OpenConnection, client, server *net.TCPConn) bool {
+		conn, successorClient, successorServer = handedOver, duplicate(t, client), duplicate(t, server)
+		return len(handedOver.PendingAges) == 1
 	}) {
 	}
-	head, err := ParseHead(s.FirstLine)
+	head, err := ParseHead(conn.FirstLine)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -229,33 +239,34 @@
 		LateReportInterval: 20 * time.Millisecond,
 		CloseTimeout:       200 * time.Millisecond,
 	}
-	y := NewInherited(s, head, a, b, &ClassCounters{}, newRecordingSink(), limits, zap.NewNop())
-	go y.RelayServer(noReport)
-	go y.RelayClient()
-	hear(t, client, "MOVE\r\n")
+	successor := NewInherited(conn, head, successorClient, successorServer, &ClassCounters{}, newRecordingObserver(),
+		limits, zap.NewNop())
+	go successor.RelayServer(parseNoReport)
+	go successor.RelayClient()
+	mustRead(t, client, "MOVE\r\n")
 }
 
-// Sockets are handed over only while the connection is open and nothing ends it.
-func TestOnlyOpenConnectionIsHandedOver(t *testing.T) {
-	never := func(*OpenConnection, *net.TCPConn, *net.TCPConn) bool {
-		t.Error("handed over")
+// HandOver must not pass on the sockets of an exchange that has no server yet, or that is ending.
+func TestHandOverRequiresOpenConnection(t *testing.T) {
+	failOnSend := func(*OpenConnection, *net.TCPConn, *net.TCPConn) bool {
+		t.Error("send was called")
 		return false
 	}
-	near, far := pair(t)
+	local, remote := connPair(t)
 	head, _ := ParseHead([]byte("OPEN id key c=chat,d=2000\r\n"))
-	x := New(head, near, &ClassCounters{}, discardSink{}, someLimits, zap.NewNop())
-	if x.HandOver(patience, never) {
-		t.Error("one that waits for its answer")
+	unanswered := New(head, local, &ClassCounters{}, noopObserver{}, testLimits, zap.NewNop())
+	if unanswered.HandOver(testTimeout, failOnSend) {
+		t.Error("handed over before the answer")
 	}
-	x.Answer(Rejected, "BUSY")
-	hear(t, far, "BUSY\r\n")
-	if x.HandOver(patience, never) {
-		t.Error("one that is answered")
+	unanswered.Answer(Rejected, "BUSY")
+	mustRead(t, remote, "BUSY\r\n")
+	if unanswered.HandOver(testTimeout, failOnSend) {
+		t.Error("handed over after the final answer")
 	}
-	y, client, _, _ := newOpenExchange(t, newRecordingSink())
-	y.Move()
-	if y.HandOver(patience, never) {
-		t.Error("one that is moved")
+	moved, client, _, _ := newOpenExchange(t, newRecordingObserver())
+	moved.Move()
+	if moved.HandOver(testTimeout, failOnSend) {
+		t.Error("handed over after Move")
 	}
-	hear(t, client, "MOVE\r\n")
+	mustRead(t, client, "MOVE\r\n")
 }
