--- a/internal/frontend/accept.go
+++ b/internal/frontend/accept.go
@@ -13,100 +13,104 @@
 )
 
 const (
-	acceptRetryInterval    = 10 * time.Millisecond  // after an error, as when descriptors run out
-	acceptRemainingTimeout = 200 * time.Millisecond // of AcceptRemaining, also where new clients go on connecting
-	acceptQuietPeriod      = 10 * time.Millisecond  // without a connection, for the kernel's queue to be empty
+	acceptRetryInterval    = 10 * time.Millisecond  // after an error, for example for lack of descriptors
+	acceptRemainingTimeout = 200 * time.Millisecond // for AcceptRemaining, even if new clients keep connecting
+	acceptQuietPeriod      = 10 * time.Millisecond  // without a new connection, to regard the kernel's queue as empty
 )
 
-// maxAcceptTimeouts is the number of timeouts before the one that shows that the kernel's queue is empty. The first is
-// the one by which AcceptRemaining wakes Serve. Two quiet periods follow it, as a process that was held up looks at its
-// clock before it looks for a connection.
+// maxAcceptTimeouts is the number of accept timeouts that are not taken to mean that the kernel's queue is empty. The
+// first one is caused by AcceptRemaining, which wakes Serve by a timeout. Of the two quiet periods after it the first
+// may time out despite a waiting connection: a process that was suspended checks its clock before the queue.
 const maxAcceptTimeouts = 2
 
-// errNoneRemaining is the error of accept after AcceptRemaining, when the kernel's queue is empty.
-var errNoneRemaining = errors.New("no connections remain to be accepted")
+// errAcceptEnded is returned by accept after AcceptRemaining, once the kernel's queue is empty or the time is over.
+var errAcceptEnded = errors.New("no more connections are accepted")
 
-// AcceptRemaining has Serve accept the connections that are in the kernel's queue, close the listener and return. A
-// listener that is closed with connections in its queue resets them.
-func (s *Server) AcceptRemaining(l *net.TCPListener) {
-	s.acceptWithin(acceptRemainingTimeout)
-	l.SetDeadline(time.Unix(1, 0)) // wakes Serve
+// AcceptRemaining makes Serve accept the connections that are in the kernel's queue, close the listener and return.
+// Closing the listener with connections in the queue would reset them.
+func (s *Server) AcceptRemaining(listener *net.TCPListener) {
+	s.limitAcceptTime(acceptRemainingTimeout)
+	listener.SetDeadline(time.Unix(1, 0)) // wakes Serve
 }
 
-func (s *Server) acceptWithin(d time.Duration) {
-	deadline := time.Now().Add(d)
+// limitAcceptTime sets the time until which Serve accepts connections.
+func (s *Server) limitAcceptTime(timeout time.Duration) {
+	deadline := time.Now().Add(timeout)
 	s.acceptDeadline.Store(&deadline)
 }
 
-// Serve accepts clients until the listener is closed, until AcceptRemaining has emptied its queue, or until ctx ends
-// while accepting fails. It closes the listener.
-func (s *Server) Serve(ctx context.Context, l *net.TCPListener) {
-	defer l.Close()
+// Serve accepts clients until the listener is closed, until AcceptRemaining has emptied the kernel's queue, or until
+// ctx ends while accepting fails. It closes the listener.
+func (s *Server) Serve(ctx context.Context, listener *net.TCPListener) {
+	defer listener.Close()
 	for {
-		c, err := s.accept(ctx, l)
+		conn, err := s.accept(ctx, listener)
 		if err != nil {
 			return
 		}
 		s.Counters.Accepted.Add(1)
 		select {
 		case s.handshakeSlots <- struct{}{}:
-		default: // silent clients must not keep the others out
+		default: // clients that send nothing must not block new ones
 			s.shortenOldestHandshakes()
 			s.handshakeSlots <- struct{}{}
 		}
-		client := lines.New(c)
-		s.addHandshake(client) // before the next is accepted, which may shorten it
+		client := lines.New(conn)
+		s.addHandshake(client) // before the next connection is accepted, which may shorten this handshake
 		s.connections.Go(func() { s.serveClient(client) })
 	}
 }
 
-// accept waits for a connection. After an error there is none to wait for.
-func (s *Server) accept(ctx context.Context, l *net.TCPListener) (*net.TCPConn, error) {
-	timeouts, isFailing := 0, false
+// accept waits for a connection. It retries after errors of the listener, and returns an error only if no more
+// connections are to be accepted.
+func (s *Server) accept(ctx context.Context, listener *net.TCPListener) (*net.TCPConn, error) {
+	timeouts, hasFailed := 0, false
 	for {
-		if err := s.setAcceptDeadline(l); err != nil {
+		if err := s.setAcceptDeadline(listener); err != nil {
 			return nil, err
 		}
-		c, err := l.AcceptTCP()
+		conn, err := listener.AcceptTCP()
 		switch {
 		case err == nil:
-			return c, nil
+			return conn, nil
 		case errors.Is(err, net.ErrClosed):
 			return nil, err
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			if timeouts++; timeouts > maxAcceptTimeouts {
-				return nil, errNoneRemaining
+				return nil, errAcceptEnded
 			}
 			continue
 		}
 		s.Counters.AcceptErrors.Add(1)
-		if !isFailing { // one log line for each series of errors
+		if !hasFailed { // one log line per series of errors
 			s.log.Warn("clients cannot be accepted", zap.Error(err))
 		}
-		isFailing = true
+		hasFailed = true
 		if err := s.pauseAccept(ctx); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// setAcceptDeadline bounds the next accept once AcceptRemaining was called, and fails when its time is over.
-func (s *Server) setAcceptDeadline(l *net.TCPListener) error {
+// setAcceptDeadline limits the time of the next accept to acceptQuietPeriod if AcceptRemaining was called. It returns
+// errAcceptEnded after acceptRemainingTimeout.
+func (s *Server) setAcceptDeadline(listener *net.TCPListener) error {
 	deadline := s.acceptDeadline.Load()
 	if deadline == nil {
 		return nil
 	}
 	if time.Now().After(*deadline) {
-		return errNoneRemaining
+		return errAcceptEnded
 	}
-	l.SetDeadline(time.Now().Add(acceptQuietPeriod))
+	listener.SetDeadline(time.Now().Add(acceptQuietPeriod))
 	return nil
 }
 
-// pauseAccept waits after an error. The time of AcceptRemaining begins again, as nothing could be accepted.
+// pauseAccept waits for acceptRetryInterval after an error. The timeout of AcceptRemaining starts again, because no
+// connection could be accepted.
 func (s *Server) pauseAccept(ctx context.Context) error {
 	if s.acceptDeadline.Load() != nil {
-		s.acceptWithin(acceptRemainingTimeout)
+		s.limitAcceptTime(acceptRemainingTimeout)
 	}
 	select {
 	case <-ctx.Done():
--- a/internal/frontend/golden_test.go
+++ b/internal/frontend/golden_test.go
@@ -8,7 +8,7 @@
 	"brassmux/internal/exchange"
 )
 
-// The codes of log lines, in testdata/codes.txt.
+// testdata/codes.txt has the codes of log lines, which must not change.
 func TestGoldenCodes(t *testing.T) {
 	want, err := os.ReadFile("testdata/codes.txt")
 	if err != nil {
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -9,40 +9,41 @@
 	"brassmux/internal/lines"
 )
 
-// errUnknownClass is answered to a request of a class that is not configured.
+// errUnknownClass is the error for a request of a class that is not configured. Its text is sent to the client.
 var errUnknownClass = errors.New("unknown class")
 
-// readRequest reads a client's request and reserves a slot for it, or rejects it and returns the code.
-func (s *Server) readRequest(c *lines.Conn) (
+// readRequest reads a client's request and reserves a slot for it. If there is no valid request, or it is rejected, the
+// code for the log line is not empty.
+func (s *Server) readRequest(conn *lines.Conn) (
 	head *exchange.Head, counters *exchange.ClassCounters, code exchange.Reason) {
-	line, code := s.readFirstLine(c)
+	line, code := s.readFirstLine(conn)
 	if code != "" {
 		return nil, nil, code
 	}
-	head, counters, err := s.parseRequest(c, line)
+	head, counters, err := s.parseRequest(conn, line)
 	if err != nil {
-		return nil, nil, s.reject(c, Malformed, err.Error())
+		return nil, nil, s.reject(conn, Malformed, err.Error())
 	}
 	switch code := s.reserveRequest(head); code {
 	case AtCapacity:
 		s.Counters.AtCapacity.Add(1)
 		counters.Rejected.Add(1)
-		s.writeLastLine(c, "BUSY")
+		s.writeFinalLine(conn, "BUSY")
 		return nil, nil, code
 	case IDInUse:
-		return nil, nil, s.reject(c, code, "id in use")
+		return nil, nil, s.reject(conn, code, "id in use")
 	}
 	return head, counters, ""
 }
 
-// parseRequest parses a first line. A client waits for its answer: a line that follows at once is an error, as no
-// server would expect it.
-func (s *Server) parseRequest(c *lines.Conn, line []byte) (*exchange.Head, *exchange.ClassCounters, error) {
-	head, err := exchange.ParseHead(append([]byte(nil), line...)) // it outlives the read buffer
+// parseRequest parses a first line. A second line that was received together with it is an error, because a client must
+// wait for its answer and no server expects such a line.
+func (s *Server) parseRequest(conn *lines.Conn, line []byte) (*exchange.Head, *exchange.ClassCounters, error) {
+	head, err := exchange.ParseHead(append([]byte(nil), line...)) // a copy, since the read buffer is reused
 	if err != nil {
 		return nil, nil, err
 	}
-	if c.HasBuffered() {
+	if conn.HasBuffered() {
 		return nil, nil, exchange.ErrMalformed
 	}
 	counters := s.cfg.ClassCounters(head.Class)
@@ -52,71 +53,72 @@
 	return head, counters, nil
 }
 
-// readFirstLine reads the first line that is not a PING, and answers those. They do not extend the handshake: a client
-// that sends nothing else is rejected like a silent one.
-func (s *Server) readFirstLine(c *lines.Conn) (line []byte, code exchange.Reason) {
+// readFirstLine answers PING lines and returns the first other line. PING lines do not extend the handshake: a client
+// that sends nothing else is rejected in the same way as one that sends nothing.
+func (s *Server) readFirstLine(conn *lines.Conn) (line []byte, code exchange.Reason) {
 	for code = NoFirstLine; ; code = PingOnly {
-		line, err := c.ReadLine()
+		line, err := conn.ReadLine()
 		switch {
 		case errors.Is(err, lines.ErrTooLong):
-			return nil, s.reject(c, FirstLineTooLong, err.Error())
+			return nil, s.reject(conn, FirstLineTooLong, err.Error())
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			return nil, s.reject(c, FirstLineTimedOut, "no request in time")
-		case err == io.EOF && len(c.TakeBuffered()) > 0:
-			return nil, s.reject(c, Malformed, exchange.ErrMalformed.Error())
+			return nil, s.reject(conn, FirstLineTimedOut, "no request in time")
+		case err == io.EOF && len(conn.TakeBuffered()) > 0:
+			return nil, s.reject(conn, Malformed, exchange.ErrMalformed.Error())
 		case err != nil:
 			return nil, code
 		}
 		if text, ok := lines.TrimCRLF(line); !ok || string(text) != "PING" {
 			return line, ""
 		}
-		if err := s.answerPing(c); err != nil {
+		if err := s.answerPing(conn); err != nil {
 			return nil, PingOnly
 		}
 	}
 }
 
-func (s *Server) answerPing(c *lines.Conn) error {
+// answerPing answers a PING according to whether the node is in service.
+func (s *Server) answerPing(conn *lines.Conn) error {
 	s.Counters.Pings.Add(1)
 	answer := "PONG"
 	if !s.cfg.IsInService() {
 		answer = "ERR out of service"
 	}
-	return c.WriteLine(answer, s.cfg.ExchangeLimits.CloseTimeout)
+	return conn.WriteLine(answer, s.cfg.ExchangeLimits.CloseTimeout)
 }
 
-// reject answers a connection that has no valid request, and returns the code.
-func (s *Server) reject(c *lines.Conn, code exchange.Reason, text string) exchange.Reason {
+// reject answers a client that has sent no valid request, and returns the code.
+func (s *Server) reject(conn *lines.Conn, code exchange.Reason, text string) exchange.Reason {
 	s.Counters.Malformed.Add(1)
-	s.writeLastLine(c, "ERR "+text)
+	s.writeFinalLine(conn, "ERR "+text)
 	return code
 }
 
-// writeLastLine writes a last line and waits for the client to close: a close with unread bytes would reset the
+// writeFinalLine writes a final line and waits for the client to close. Closing with unread bytes would reset the
 // connection before the client has read the line.
-func (s *Server) writeLastLine(c *lines.Conn, line string) {
-	c.WriteLine(line, s.cfg.ExchangeLimits.CloseTimeout)
-	c.CloseWrite()
-	s.extendHandshake(c, s.cfg.ExchangeLimits.CloseTimeout)
-	io.Copy(io.Discard, io.LimitReader(c.TCPConn, exchange.MaxDrainBytes))
+func (s *Server) writeFinalLine(conn *lines.Conn, line string) {
+	conn.WriteLine(line, s.cfg.ExchangeLimits.CloseTimeout)
+	conn.CloseWrite()
+	s.setHandshakeTimeout(conn, s.cfg.ExchangeLimits.CloseTimeout)
+	io.Copy(io.Discard, io.LimitReader(conn.TCPConn, exchange.MaxDrainBytes))
 }
 
-// reserveRequest reserves a slot and the ID of a request, or returns the code with which it is rejected.
+// reserveRequest reserves a slot and the ID of a request. If it cannot it returns the code of the rejection.
 func (s *Server) reserveRequest(head *exchange.Head) exchange.Reason {
 	select {
 	case s.requestSlots <- struct{}{}:
 	default:
 		return AtCapacity
 	}
-	if !s.ids.begin(string(head.ID)) {
+	if !s.requestIDs.begin(string(head.ID)) {
 		<-s.requestSlots
 		return IDInUse
 	}
 	return ""
 }
 
-// releaseRequest gives back what reserveRequest reserved.
+// releaseRequest releases the slot and the ID that reserveRequest reserved.
 func (s *Server) releaseRequest(head *exchange.Head) {
-	s.ids.end(string(head.ID))
+	s.requestIDs.end(string(head.ID))
 	<-s.requestSlots
 }
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -1,7 +1,6 @@
-// Package frontend is the side of the clients: it accepts connections, reads their first lines, rejects those without a
-// valid request, and bounds both the handshakes and the open requests. It owns a connection until its request is handed
-// to an exchange, and the client's half of that exchange after it. Which server a request is sent to is left to the
-// caller.
+// Package frontend serves the clients: it accepts connections, reads their first lines, rejects those without a valid
+// request, and limits the numbers of handshakes and of open requests. It owns a connection until its request becomes an
+// exchange, and then runs the client's goroutine of that exchange. The caller chooses the server of a request.
 package frontend
 
 import (
@@ -16,58 +15,58 @@
 	"brassmux/internal/lines"
 )
 
-// The codes of connections that end without an exchange.
+// Reasons for the end of connections that end without an exchange.
 const (
-	PingOnly          exchange.Reason = "ping"             // sent nothing but PINGs
-	NoFirstLine       exchange.Reason = "no_first_line"    // ended or reset before a whole line
-	FirstLineTimedOut exchange.Reason = "first_line_late"  // sent no request in time
-	FirstLineTooLong  exchange.Reason = "first_line_long"  // over lines.MaxLength
-	Malformed         exchange.Reason = "first_line_wrong" // malformed, or an unknown request
-	IDInUse           exchange.Reason = "id_in_use"        // a request with the ID of another
-	AtCapacity        exchange.Reason = "no_room"          // rejected at the limit of requests
+	PingOnly          exchange.Reason = "ping"             // the client sent only PINGs
+	NoFirstLine       exchange.Reason = "no_first_line"    // ended or reset before a complete line
+	FirstLineTimedOut exchange.Reason = "first_line_late"  // no request within the first-line timeout
+	FirstLineTooLong  exchange.Reason = "first_line_long"  // longer than lines.MaxLength
+	Malformed         exchange.Reason = "first_line_wrong" // malformed request, unknown request or unknown class
+	IDInUse           exchange.Reason = "id_in_use"        // a request with the ID of another request
+	AtCapacity        exchange.Reason = "no_room"          // rejected because MaxRequests are open
 )
 
 // Config is the configuration of a Server.
 type Config struct {
-	FirstLineTimeout time.Duration // limit on a handshake, whatever comes before the request
-	MaxRequests      int           // requests open at once; further ones are answered BUSY
-	MaxHandshakes    int           // connections beside those: without a request yet, or being rejected
+	FirstLineTimeout time.Duration // limit on a handshake, including any PINGs before the request
+	MaxRequests      int           // limit on open requests; further requests are answered with BUSY
+	MaxHandshakes    int           // limit on connections without a request yet or being rejected
 	ExchangeLimits   exchange.Limits
 
-	ClassCounters func(name []byte) *exchange.ClassCounters // of a class; nil for an unknown class
-	IsInService   func() bool                               // whether a PING is answered with PONG
+	ClassCounters func(name []byte) *exchange.ClassCounters // returns the counters of a class, nil if unknown
+	IsInService   func() bool                               // reports whether a PING is answered with PONG
 }
 
-// Counters count connections and requests.
+// Counters counts connections and requests.
 type Counters struct {
 	Accepted     atomic.Int64 // connections
 	AcceptErrors atomic.Int64
 	Pings        atomic.Int64
-	Requests     atomic.Int64 // with a slot
-	Malformed    atomic.Int64 // connections rejected for their first line, or for want of one
-	AtCapacity   atomic.Int64 // requests rejected for want of a slot
-	Unanswered   atomic.Int64 // requests that ended neither answered nor left by the client: a fault of the program
+	Requests     atomic.Int64 // requests that received a slot
+	Malformed    atomic.Int64 // connections rejected for an invalid or missing first line, or an ID in use
+	AtCapacity   atomic.Int64 // requests rejected for lack of a slot
+	Unanswered   atomic.Int64 // requests that ended without an answer although the client stayed: a program error
 }
 
-// Server accepts clients. Its methods may be called from any goroutine; each client has a goroutine of its own.
+// Server accepts clients, each served by its own goroutine. Its methods may be called from any goroutine.
 type Server struct {
 	cfg            Config
 	log            *zap.Logger
 	observer       exchange.Observer
 	onRequest      func(*exchange.Exchange)
-	requestSlots   chan struct{} // holds an element for each request
-	handshakeSlots chan struct{} // and one for each connection without a request
-	ids            *requestIDs
+	requestSlots   chan struct{} // holds an element for each open request
+	handshakeSlots chan struct{} // holds an element for each connection without a request
+	requestIDs     *requestIDs
 	connections    sync.WaitGroup
 	acceptDeadline atomic.Pointer[time.Time] // set by AcceptRemaining
 	Counters       Counters
 
-	mu               sync.Mutex    // guards what follows; not held over I/O
-	handshakes       []handshake   // oldest first, without those that were shortened
-	firstLineTimeout time.Duration // of the next handshake
+	mu               sync.Mutex    // guards the fields below; not held during I/O
+	handshakes       []handshake   // oldest first; without those that were shortened
+	firstLineTimeout time.Duration // for future handshakes
 }
 
-// New returns a server. onRequest is called on a goroutine of its own for each request; observer is notified of its
+// New returns a server. onRequest is called on a new goroutine for each request; observer is notified of the request's
 // events.
 func New(cfg Config, log *zap.Logger, observer exchange.Observer, onRequest func(*exchange.Exchange)) *Server {
 	return &Server{
@@ -77,46 +76,47 @@
 		onRequest:        onRequest,
 		requestSlots:     make(chan struct{}, cfg.MaxRequests),
 		handshakeSlots:   make(chan struct{}, cfg.MaxHandshakes),
-		ids:              newRequestIDs(),
+		requestIDs:       newRequestIDs(),
 		firstLineTimeout: cfg.FirstLineTimeout,
 	}
 }
 
-// OpenRequests returns the number of requests that have not ended.
+// OpenRequests returns the number of open requests.
 func (s *Server) OpenRequests() int { return len(s.requestSlots) }
 
-// Handshakes returns the number of connections without a request.
+// Handshakes returns the number of connections without a request, including those being rejected.
 func (s *Server) Handshakes() int { return len(s.handshakeSlots) }
 
-// Wait returns when all connections have ended.
+// Wait waits until all connections have ended.
 func (s *Server) Wait() { s.connections.Wait() }
 
-// serveClient runs a connection from its first line to its end. It is the goroutine of the connection.
-func (s *Server) serveClient(c *lines.Conn) {
-	defer c.Close()
-	head, counters, code := s.readRequest(c)
+// serveClient serves a connection from its first line to its end. It runs on the client's goroutine.
+func (s *Server) serveClient(conn *lines.Conn) {
+	defer conn.Close()
+	head, counters, code := s.readRequest(conn)
 	if code != "" {
-		s.releaseHandshake(c)
-		s.log.Info("connection ended", zap.String("code", string(code)), zap.Stringer("client", c.RemoteAddr()))
+		s.releaseHandshake(conn)
+		s.log.Info("connection ended", zap.String("code", string(code)), zap.Stringer("client", conn.RemoteAddr()))
 		return
 	}
 	defer s.releaseRequest(head)
-	s.releaseHandshake(c)
-	c.SetReadDeadline(time.Time{})
+	s.releaseHandshake(conn)
+	conn.SetReadDeadline(time.Time{})
 	s.Counters.Requests.Add(1)
-	x := exchange.New(head, c, counters, s.observer, s.cfg.ExchangeLimits, s.log)
-	go s.onRequest(x) // it may block, and a client that leaves meanwhile is to be noticed at once
+	x := exchange.New(head, conn, counters, s.observer, s.cfg.ExchangeLimits, s.log)
+	go s.onRequest(x) // may block, and a client that disconnects must be detected meanwhile
 	x.RelayClient()
 	if x.AwaitsAnswer() {
 		s.Counters.Unanswered.Add(1)
-		s.log.Error("a request has ended without an answer", zap.ByteString("id", head.ID))
+		s.log.Error("request ended without an answer", zap.ByteString("id", head.ID))
 	}
 }
 
-// Inherit continues a connection that another process has handed over; run is called with its exchange before anything
-// is read. It returns false where no slot is free, or where this process would not accept the request.
-func (s *Server) Inherit(st *exchange.OpenConnection, client, server *net.TCPConn, run func(*exchange.Exchange)) bool {
-	head, err := exchange.ParseHead(st.FirstLine)
+// Inherit continues a connection that another process has handed over. run is called with its exchange before the
+// client is read from. It returns false if no slot is available, or if this process would not accept the request.
+func (s *Server) Inherit(conn *exchange.OpenConnection, client, server *net.TCPConn,
+	run func(*exchange.Exchange)) bool {
+	head, err := exchange.ParseHead(conn.FirstLine)
 	if err != nil {
 		return false
 	}
@@ -127,7 +127,7 @@
 	if s.reserveRequest(head) != "" {
 		return false
 	}
-	x := exchange.NewInherited(st, head, client, server, counters, s.observer, s.cfg.ExchangeLimits, s.log)
+	x := exchange.NewInherited(conn, head, client, server, counters, s.observer, s.cfg.ExchangeLimits, s.log)
 	run(x)
 	s.connections.Go(func() {
 		defer s.releaseRequest(head)
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -15,9 +15,10 @@
 	"brassmux/internal/exchange"
 )
 
-// newTestServer returns a server that rejects each request, and a dialer of clients that send text and read all.
+// newTestServer returns a server that rejects each request with BUSY. dial connects a client that sends text; readAll
+// returns all that the client receives, followed by the read error.
 func newTestServer(t *testing.T, maxHandshakes int) (
-	s *Server, l *net.TCPListener, dial func(text string) (readAll func() string)) {
+	server *Server, tcpListener *net.TCPListener, dial func(text string) (readAll func() string)) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -31,59 +32,59 @@
 		ClassCounters:    func([]byte) *exchange.ClassCounters { return &exchange.ClassCounters{} },
 		ExchangeLimits:   exchange.Limits{CloseTimeout: time.Second},
 	}
-	s = New(cfg, zap.NewNop(), nil, func(x *exchange.Exchange) { x.Answer(exchange.Rejected, "BUSY") })
-	return s, listener.(*net.TCPListener), func(text string) func() string {
-		c, err := net.Dial("tcp", listener.Addr().String())
+	server = New(cfg, zap.NewNop(), nil, func(x *exchange.Exchange) { x.Answer(exchange.Rejected, "BUSY") })
+	return server, listener.(*net.TCPListener), func(text string) func() string {
+		conn, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
-		c.SetDeadline(time.Now().Add(10 * time.Second))
-		io.WriteString(c, text)
+		t.Cleanup(func() { conn.Close() })
+		conn.SetDeadline(time.Now().Add(10 * time.Second))
+		io.WriteString(conn, text)
 		return func() string {
-			all, err := io.ReadAll(c)
-			return fmt.Sprint(string(all), err)
+			received, err := io.ReadAll(conn)
+			return fmt.Sprint(string(received), err)
 		}
 	}
 }
 
-// The kernel has accepted all connections, and the program none, when it is to accept no more. There are more of them
-// than handshake slots.
+// A shutdown begins while the kernel's queue contains more connections than there are handshake slots. All of them must
+// be accepted and answered before the listener is closed.
 func TestAcceptRemaining(t *testing.T) {
-	s, l, dial := newTestServer(t, 3)
+	server, listener, dial := newTestServer(t, 3)
 	var clients []func() string
 	for i := range 20 {
 		clients = append(clients, dial(fmt.Sprintf("OPEN %d k c=x,d=1000\r\n", i)))
 	}
-	s.AcceptRemaining(l)
-	s.Serve(context.Background(), l)
+	server.AcceptRemaining(listener)
+	server.Serve(context.Background(), listener)
 	for i, readAll := range clients {
 		if got := readAll(); got != "BUSY\r\n<nil>" {
-			t.Errorf("client %d got %q", i, got)
+			t.Errorf("client %d received %q", i, got)
 		}
 	}
-	if c, err := net.Dial("tcp", l.Addr().String()); err == nil {
-		c.Close()
-		t.Error("the listener is open")
+	if conn, err := net.Dial("tcp", listener.Addr().String()); err == nil {
+		conn.Close()
+		t.Error("the listener is still open")
 	}
 }
 
-// A connection is accepted just after the handshakes were limited.
-func TestLimitHandshakesBindsLaterConnections(t *testing.T) {
-	s, l, dial := newTestServer(t, 10)
-	s.LimitHandshakeTime(20 * time.Millisecond)
-	go s.Serve(context.Background(), l)
+// A connection that is accepted after LimitHandshakeTime must have the limit too.
+func TestLimitHandshakeTimeAppliesToLaterConnections(t *testing.T) {
+	server, listener, dial := newTestServer(t, 10)
+	server.LimitHandshakeTime(20 * time.Millisecond)
+	go server.Serve(context.Background(), listener)
 	for _, text := range []string{"", "OPEN half"} {
 		if got := dial(text)(); got != "ERR no request in time\r\n<nil>" {
-			t.Errorf("got %q", got)
+			t.Errorf("client received %q", got)
 		}
 	}
 }
 
-// The process lacks descriptors when it is to accept no more: the connections in the kernel's queue are accepted once
-// there are descriptors again.
+// A shutdown begins while the process has no free descriptors. The connections in the kernel's queue must be accepted
+// once descriptors are available again.
 func TestAcceptRemainingAfterAcceptErrors(t *testing.T) {
-	s, l, dial := newTestServer(t, 30)
+	server, listener, dial := newTestServer(t, 30)
 	var clients []func() string
 	for i := range 20 {
 		clients = append(clients, dial(fmt.Sprintf("OPEN %d k c=x,d=5000\r\n", i)))
@@ -94,17 +95,17 @@
 	}
 	restore := sync.OnceFunc(func() { syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit) })
 	t.Cleanup(restore)
-	few := limit
-	few.Cur = 3 // no further one can be opened
-	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &few); err != nil {
+	reducedLimit := limit
+	reducedLimit.Cur = 3 // no more descriptors can be opened
+	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &reducedLimit); err != nil {
 		t.Fatal(err)
 	}
 	served := make(chan struct{})
 	go func() {
-		s.Serve(context.Background(), l)
+		server.Serve(context.Background(), listener)
 		close(served)
 	}()
-	s.AcceptRemaining(l)
+	server.AcceptRemaining(listener)
 	select {
 	case <-served:
 	case <-time.After(2 * acceptRemainingTimeout):
@@ -112,7 +113,7 @@
 	restore()
 	for i, readAll := range clients {
 		if got := readAll(); got != "BUSY\r\n<nil>" {
-			t.Errorf("client %d got %q", i, got)
+			t.Errorf("client %d received %q", i, got)
 		}
 	}
 	<-served
