--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -12,48 +12,49 @@
 	"brassmux/internal/lines"
 )
 
-// StartAttempt starts an attempt and returns at once. The attempt has a goroutine of its own, which relays the server's
-// lines once it has accepted the request; its end is reported to the observer. It ends with the exchange's deadline, or
-// after a timeout that is not 0.
-func (c *Client) StartAttempt(x *exchange.Exchange, a exchange.Attempt, timeout time.Duration) {
+// StartAttempt starts an attempt on a new goroutine, which also relays the server's lines once the server has accepted
+// the request. The attempt fails at the exchange's deadline, or after the timeout unless that is 0. The observer is
+// notified of its end.
+func (c *Client) StartAttempt(x *exchange.Exchange, attempt exchange.Attempt, timeout time.Duration) {
 	deadline := x.Deadline
 	if timeout > 0 && time.Until(deadline) > timeout {
 		deadline = time.Now().Add(timeout)
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
-	begun := time.Now()
-	// An attempt without time left is abandoned here: a timeout would count against the server.
-	if !deadline.After(begun) || !x.StartAttempt(a, cancel) {
+	startedAt := time.Now()
+	// An attempt without time left is abandoned here, because a timeout would count against the server.
+	if !deadline.After(startedAt) || !x.StartAttempt(attempt, cancel) {
 		cancel()
-		go c.observer.AttemptEnded(x, a, balance.Abandoned, 0, nil)
+		go c.observer.AttemptEnded(x, attempt, balance.Abandoned, 0, nil)
 		return
 	}
 	c.Counters.Attempts.Add(1)
 	go func() {
 		defer cancel()
-		if result := c.attempt(ctx, x, a, deadline); !result.accepted {
+		if result := c.runAttempt(ctx, x, attempt, deadline); !result.accepted {
 			c.Counters.Outcomes[result.outcome].Add(1)
 			x.EndAttempt()
-			c.observer.AttemptEnded(x, a, result.outcome, time.Since(begun), result.report)
+			c.observer.AttemptEnded(x, attempt, result.outcome, time.Since(startedAt), result.report)
 		}
 	}()
 }
 
-// attemptResult is the result of an attempt. Where the server accepted the request, the exchange has reported the rest.
+// attemptResult is the result of an attempt. If accepted is true the exchange has already reported the outcome.
 type attemptResult struct {
 	accepted bool
 	outcome  balance.Outcome
 	report   *balance.LoadReport // nil for none
 }
 
-// attempt returns when the attempt has failed, or when the connection that it became has ended.
-func (c *Client) attempt(ctx context.Context, x *exchange.Exchange, a exchange.Attempt,
+// runAttempt carries out an attempt. It returns when the attempt has failed, or, once the server has accepted the
+// request, when the server's connection has ended.
+func (c *Client) runAttempt(ctx context.Context, x *exchange.Exchange, attempt exchange.Attempt,
 	deadline time.Time) attemptResult {
-	conn, err := c.dial(ctx, a.Addr)
+	conn, err := c.dial(ctx, attempt.Addr)
 	if err != nil {
 		return attemptResult{outcome: unsentOutcome(ctx)}
 	}
-	// A cancelled or late attempt fails the read or write that is waiting on the connection.
+	// Cancellation and timeout interrupt a read or write that is waiting on the connection.
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	if outcome, sent := c.sendFirstLine(ctx, conn, x, deadline); !sent {
@@ -63,7 +64,7 @@
 	line, err := conn.ReadLine()
 	if err != nil {
 		conn.Close()
-		return attemptResult{outcome: readFailure(ctx, err)}
+		return attemptResult{outcome: readErrorOutcome(ctx, err)}
 	}
 	outcome := answerOutcome(line)
 	if outcome != balance.OK {
@@ -81,23 +82,24 @@
 	return attemptResult{outcome: balance.Cancelled}
 }
 
-// sendFirstLine sends the request's first line with the time that is left. Where it was not sent whole the server has
-// not run the request, and the outcome says why.
+// sendFirstLine sends the request's first line with the remaining time as its timeout. sent is false if the line was
+// not sent completely, so that the server cannot have run the request; the outcome is then that of the attempt.
 func (c *Client) sendFirstLine(ctx context.Context, conn *lines.Conn, x *exchange.Exchange, deadline time.Time) (
 	outcome balance.Outcome, sent bool) {
 	if !x.StartSending() {
 		return balance.NotSent, false
 	}
-	head := x.Head.WithTimeout(time.Until(deadline))
-	if _, err := head.WriteTo(conn.TCPConn); err != nil && len(head) > 0 { // WriteTo removes what it has written
+	firstLine := x.Head.WithTimeout(time.Until(deadline))
+	// WriteTo removes the buffers that it has written from firstLine.
+	if _, err := firstLine.WriteTo(conn.TCPConn); err != nil && len(firstLine) > 0 {
 		return unsentOutcome(ctx), false
 	}
 	c.Counters.FirstLinesSent.Add(1)
 	return balance.OK, true
 }
 
-// unsentOutcome is the outcome of an attempt whose first line was not sent whole. A cancelled one does not count
-// against the server: the client has left, or the list of servers has changed.
+// unsentOutcome returns the outcome of an attempt whose first line was not sent completely. A cancelled attempt does
+// not count against the server, because the client has disconnected or the list of servers has changed.
 func unsentOutcome(ctx context.Context) balance.Outcome {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return balance.NotSent
@@ -105,8 +107,8 @@
 	return balance.ConnectFailed
 }
 
-// readFailure is the outcome of an attempt whose answer could not be read.
-func readFailure(ctx context.Context, err error) balance.Outcome {
+// readErrorOutcome returns the outcome of an attempt whose answer could not be read.
+func readErrorOutcome(ctx context.Context, err error) balance.Outcome {
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
 		return balance.Cancelled
@@ -116,9 +118,9 @@
 	return balance.Reset
 }
 
-// answerOutcome is the outcome of an attempt by the server's answer: OK for an UP with one receipt, AtCapacity for a
-// BUSY. Any other line is a ServerError, also where it was damaged: it must not be taken for the server's word that the
-// request has run, or has not.
+// answerOutcome returns the outcome of an attempt according to the server's answer: OK for UP with one receipt,
+// AtCapacity for BUSY, and ServerError for any other line. A corrupted UP or BUSY line is a ServerError, because it
+// does not show reliably whether the server has run the request.
 func answerOutcome(line []byte) balance.Outcome {
 	text, printable := lines.TrimPrintable(line)
 	receipt, isUp := bytes.CutPrefix(text, []byte("UP "))
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -1,6 +1,6 @@
-// Package backend holds the connections to servers: it carries out attempts to place a request, and health checks. It
-// owns the connections of health checks, and that of an attempt until the server has accepted the request; then it
-// belongs to the exchange. Which server is tried or checked, and when, is left to the caller.
+// Package backend connects to servers: it carries out attempts to have a server accept a request, and health checks. It
+// owns the connections of health checks, and the connection of an attempt until the server accepts the request. The
+// exchange owns it from then on. The caller decides which servers are tried or checked, and when.
 package backend
 
 import (
@@ -16,14 +16,14 @@
 
 // Config is the configuration of a Client.
 type Config struct {
-	LocalAddr           net.Addr      // the local end of connections; nil for any
+	LocalAddr           net.Addr      // local address of connections; nil for any
 	DialTimeout         time.Duration // limit on connecting
-	HealthCheckTimeout  time.Duration // limit on a health check, with its connecting
-	IdleTimeout         time.Duration // how long a health check's connection is kept for the next check
-	MaxHealthCheckConns int           // connections of health checks at once, with idle ones; at least 1
-	LoadField           string        // name of the load in a server's load report
+	HealthCheckTimeout  time.Duration // limit on a health check, including connecting
+	IdleTimeout         time.Duration // time that a health check's connection is kept for the next check
+	MaxHealthCheckConns int           // limit on connections of health checks, including idle ones; at least 1
+	LoadField           string        // name of the utilisation field in a server's load report
 
-	// Connect opens a TCP connection; nil for net.Dialer.
+	// Connect opens a TCP connection. If it is nil a net.Dialer is used.
 	Connect func(ctx context.Context, addr string) (net.Conn, error)
 }
 
@@ -32,29 +32,29 @@
 	cfg           Config
 	observer      exchange.Observer
 	onHealthCheck func(balance.HealthCheckResult)
-	mu            sync.Mutex // guards checkers, and sending to them; not held over I/O
-	checkers      map[balance.ServerID]*checker
-	pool          pool // of the health checks' connections
+	mu            sync.Mutex // guards checkers and sends to their requests channels; not held during I/O
+	checkers      map[balance.ServerID]*healthChecker
+	pool          connPool // connections of the health checks
 	Counters      Counters
 }
 
-// Counters count what is sent to servers, by outcome.
+// Counters counts attempts and health checks.
 type Counters struct {
-	Attempts       atomic.Int64    // attempts begun
-	FirstLinesSent atomic.Int64    // attempts whose first line was written whole
+	Attempts       atomic.Int64    // attempts started
+	FirstLinesSent atomic.Int64    // attempts whose first line was written completely
 	HealthChecks   atomic.Int64    // health checks requested
-	Outcomes       [9]atomic.Int64 // of attempts that the server did not accept, by balance.Outcome
+	Outcomes       [9]atomic.Int64 // attempts that the server did not accept, by balance.Outcome
 }
 
 // New returns a client. observer is notified of the ends of attempts, and onHealthCheck is called with the results of
 // health checks; both are called from many goroutines.
 func New(cfg Config, observer exchange.Observer, onHealthCheck func(balance.HealthCheckResult)) *Client {
 	if cfg.Connect == nil {
-		d := net.Dialer{Timeout: cfg.DialTimeout, LocalAddr: cfg.LocalAddr}
+		dialer := net.Dialer{Timeout: cfg.DialTimeout, LocalAddr: cfg.LocalAddr}
 		cfg.Connect = func(ctx context.Context, addr string) (net.Conn, error) {
-			return d.DialContext(ctx, "tcp", addr)
+			return dialer.DialContext(ctx, "tcp", addr)
 		}
 	}
 	return &Client{cfg: cfg, observer: observer, onHealthCheck: onHealthCheck,
-		checkers: map[balance.ServerID]*checker{}, pool: pool{free: max(cfg.MaxHealthCheckConns, 1)}}
+		checkers: map[balance.ServerID]*healthChecker{}, pool: connPool{available: max(cfg.MaxHealthCheckConns, 1)}}
 }
--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -11,11 +11,11 @@
 	"brassmux/internal/transient"
 )
 
-// dialRetryInterval is the time between two dials where this machine lacks a resource.
+// dialRetryInterval is the time between two dials while this machine lacks a resource.
 const dialRetryInterval = 10 * time.Millisecond
 
-// dial connects to a server. Where this machine lacks sockets, ports or routes for a moment it dials again until
-// DialTimeout is over, as that is no fault of the server.
+// dial connects to a server. If this machine temporarily lacks sockets, ports or routes, which is not a fault of the
+// server, it retries until DialTimeout has passed.
 func (c *Client) dial(ctx context.Context, addr string) (*lines.Conn, error) {
 	for deadline := time.Now().Add(c.cfg.DialTimeout); ; {
 		conn, err := c.cfg.Connect(ctx, addr)
@@ -32,6 +32,6 @@
 	}
 }
 
-// isLocalShortage reports whether a connection failed before anything reached its server, for want of a resource that
-// this machine may have again in a moment.
+// isLocalShortage reports whether a dial failed because this machine temporarily lacks a resource, before anything was
+// sent to the server.
 func isLocalShortage(err error) bool { return transient.Is(err) || errors.Is(err, syscall.ENETUNREACH) }
--- a/internal/backend/golden_test.go
+++ b/internal/backend/golden_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The load that is read from servers' lines, in testdata/reports.txt.
+// testdata/reports.txt has the utilisation that is parsed from each line of a server.
 func TestGoldenReports(t *testing.T) {
 	want, err := os.ReadFile("testdata/reports.txt")
 	if err != nil {
--- a/internal/backend/health_check.go
+++ b/internal/backend/health_check.go
@@ -12,110 +12,112 @@
 	"brassmux/internal/lines"
 )
 
-// CheckHealth requests a health check of a server and returns at once. A check that is not on its way by sendBy is not
-// sent, unless that is the zero time; its result is OK without a load report. So is the result of a check for which no
-// connection came free within HealthCheckTimeout. A request joins one that is waiting to be sent to the same server.
-func (c *Client) CheckHealth(id balance.ServerID, addr string, sendBy time.Time) {
+// CheckHealth requests a health check of a server and returns without waiting for it. If the check cannot be sent by
+// sendDeadline, or no connection becomes available within HealthCheckTimeout, its result is OK without a load report. A
+// zero sendDeadline means no limit. A request that arrives while another one waits for the same server shares its
+// result.
+func (c *Client) CheckHealth(id balance.ServerID, addr string, sendDeadline time.Time) {
 	c.Counters.HealthChecks.Add(1)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	h := c.checkers[id]
-	if h == nil || h.addr != addr {
-		h = &checker{client: c, server: id, addr: addr, requests: make(chan time.Time, 1)}
-		c.checkers[id] = h
-		go h.run()
+	checker := c.checkers[id]
+	if checker == nil || checker.addr != addr {
+		checker = &healthChecker{client: c, server: id, addr: addr, requests: make(chan time.Time, 1)}
+		c.checkers[id] = checker
+		go checker.run()
 	}
 	select {
-	case h.requests <- sendBy:
-	default: // one is waiting, and its result serves both
+	case checker.requests <- sendDeadline:
+	default: // a request is waiting, and its result serves both
 	}
 }
 
-// checker sends health checks to one server, one at a time, over a connection that it keeps between two checks where
-// the pool allows it: a new one costs the server work. The goroutine of run owns conn and idle.
-type checker struct {
+// healthChecker sends health checks to one server, one at a time. Because a new connection costs the server work, it
+// keeps its connection between checks if the pool permits. Only the goroutine of run accesses conn and idleConn.
+type healthChecker struct {
 	client   *Client
 	server   balance.ServerID
 	addr     string
-	requests chan time.Time // until when the check may be sent; sent to with Client.mu held
-	conn     *lines.Conn    // in use
-	idle     *lines.Conn    // in the pool since the last check; the pool may have evicted it
+	requests chan time.Time // send deadlines of requested checks; Client.mu must be held to send
+	conn     *lines.Conn    // in use; nil for none
+	idleConn *lines.Conn    // in the pool since the last check, unless the pool has evicted it; nil for none
 }
 
-// run carries out health checks until none was requested for IdleTimeout.
-func (h *checker) run() {
-	idle := time.NewTimer(h.client.cfg.IdleTimeout)
+// run carries out the requested health checks until none has been requested for IdleTimeout.
+func (h *healthChecker) run() {
+	idleTimer := time.NewTimer(h.client.cfg.IdleTimeout)
 	for {
-		idle.Reset(h.client.cfg.IdleTimeout)
+		idleTimer.Reset(h.client.cfg.IdleTimeout)
 		select {
-		case <-idle.C:
+		case <-idleTimer.C:
 			if !h.client.removeChecker(h) {
 				continue
 			}
-			if h.reuse(); h.conn != nil {
+			if h.reuseIdleConn(); h.conn != nil {
 				h.closeConn()
 			}
 			return
-		case sendBy := <-h.requests:
-			h.client.onHealthCheck(h.check(sendBy))
+		case sendDeadline := <-h.requests:
+			h.client.onHealthCheck(h.check(sendDeadline))
 		}
 	}
 }
 
-// removeChecker removes a checker, unless it has a request.
-func (c *Client) removeChecker(h *checker) bool {
+// removeChecker removes a checker. It returns false if the checker has a request.
+func (c *Client) removeChecker(checker *healthChecker) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(h.requests) > 0 {
+	if len(checker.requests) > 0 {
 		return false
 	}
-	if c.checkers[h.server] == h {
-		delete(c.checkers, h.server)
+	if c.checkers[checker.server] == checker {
+		delete(c.checkers, checker.server)
 	}
 	return true
 }
 
-// reuse takes the idle connection into use, where the pool still has it.
-func (h *checker) reuse() {
-	if h.idle != nil && h.client.pool.takeIdle(h.idle) {
-		h.conn = h.idle
+// reuseIdleConn takes the idle connection into use if the pool has not evicted it.
+func (h *healthChecker) reuseIdleConn() {
+	if h.idleConn != nil && h.client.pool.takeIdle(h.idleConn) {
+		h.conn = h.idleConn
 	}
-	h.idle = nil
+	h.idleConn = nil
 }
 
 // closeConn closes the connection in use.
-func (h *checker) closeConn() {
+func (h *healthChecker) closeConn() {
 	h.client.pool.release(h.conn)
 	h.conn = nil
 }
 
 // check carries out one health check.
-func (h *checker) check(sendBy time.Time) balance.HealthCheckResult {
-	begun := time.Now()
-	ctx, cancel := context.WithDeadline(context.Background(), begun.Add(h.client.cfg.HealthCheckTimeout))
+func (h *healthChecker) check(sendDeadline time.Time) balance.HealthCheckResult {
+	startedAt := time.Now()
+	ctx, cancel := context.WithDeadline(context.Background(), startedAt.Add(h.client.cfg.HealthCheckTimeout))
 	result := balance.HealthCheckResult{Server: h.server}
-	// The server may have closed an idle connection, or sent a line that would be taken for the answer to this check.
-	if h.reuse(); h.conn != nil && !h.conn.IsIdle() {
+	// The server may have closed an idle connection, or sent a line that would be taken as the answer to this check.
+	if h.reuseIdleConn(); h.conn != nil && !h.conn.IsIdle() {
 		h.closeConn()
 	}
-	result.Outcome, result.Report = h.sendOrRetry(ctx, sendBy)
+	result.Outcome, result.Report = h.sendOrRetry(ctx, sendDeadline)
 	cancel()
 	if h.conn != nil && h.client.pool.putIdle(h.conn) {
-		h.idle = h.conn
+		h.idleConn = h.conn
 	}
 	h.conn = nil
-	result.Elapsed = time.Since(begun)
+	result.Elapsed = time.Since(startedAt)
 	return result
 }
 
-// sendOrRetry sends a health check. Where it fails on a connection that was idle, other than by its timeout, it is sent
-// once more on a new one: the server may only have closed the idle one.
-func (h *checker) sendOrRetry(ctx context.Context, sendBy time.Time) (balance.Outcome, *balance.LoadReport) {
+// sendOrRetry sends a health check. If it fails on a connection that was idle, for a reason other than its timeout, it
+// is sent once more on a new connection, because the server may have closed the idle one.
+func (h *healthChecker) sendOrRetry(ctx context.Context, sendDeadline time.Time) (
+	balance.Outcome, *balance.LoadReport) {
 	for wasIdle := h.conn != nil; ; wasIdle = false {
 		if outcome, connected := h.connect(ctx); !connected {
 			return outcome, nil
 		}
-		if !sendBy.IsZero() && time.Now().After(sendBy) { // the process may have been stopped for a while
+		if !sendDeadline.IsZero() && time.Now().After(sendDeadline) { // the process may have been suspended
 			return balance.OK, nil
 		}
 		outcome, report, err := h.send(ctx)
@@ -129,8 +131,8 @@
 	}
 }
 
-// connect opens a connection where there is none. Where that fails the outcome is that of the health check.
-func (h *checker) connect(ctx context.Context) (outcome balance.Outcome, connected bool) {
+// connect opens a connection if there is none. If that fails it returns the outcome of the health check.
+func (h *healthChecker) connect(ctx context.Context) (outcome balance.Outcome, connected bool) {
 	if h.conn != nil {
 		return balance.OK, true
 	}
@@ -147,8 +149,8 @@
 	return balance.OK, true
 }
 
-// send sends one health check and reads its answer. After an error the connection is of no more use.
-func (h *checker) send(ctx context.Context) (balance.Outcome, *balance.LoadReport, error) {
+// send sends one health check and reads its answer. After an error the connection must be closed.
+func (h *healthChecker) send(ctx context.Context) (balance.Outcome, *balance.LoadReport, error) {
 	deadline, _ := ctx.Deadline()
 	h.conn.SetDeadline(deadline)
 	if _, err := io.WriteString(h.conn.TCPConn, "STATS\r\n"); err != nil {
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -8,29 +8,29 @@
 	"brassmux/internal/lines"
 )
 
-// pool bounds the connections of all health checks together, so that the descriptors reserved for them suffice whatever
-// list of servers comes. It counts those being opened, those in use, and those that are idle until the next check; it
-// owns the idle ones. mu is not held over I/O.
-type pool struct {
-	mu      sync.Mutex
-	free    int             // connections that may still be opened
-	idle    []*lines.Conn   // the longest idle one first
-	waiters []chan struct{} // first come, first served
+// connPool limits the number of connections of all health checks, so that the descriptors reserved for them suffice for
+// a list of servers of any length. Connections that are being opened, in use or idle count towards the limit. The pool
+// owns the idle ones.
+type connPool struct {
+	mu        sync.Mutex      // guards the fields below; not held during I/O
+	available int             // connections that may still be opened
+	idle      []*lines.Conn   // the connection that has been idle longest is first
+	waiters   []chan struct{} // closed when a connection is granted; in order of arrival
 }
 
-// acquire reserves a connection, which release gives back. Where none is free it evicts the longest idle one; where all
-// are in use it waits until ctx ends, and returns false then.
-func (p *pool) acquire(ctx context.Context) bool {
+// acquire reserves a connection, which the caller must release. If the limit is reached it evicts the connection that
+// has been idle longest. If all are in use it waits for one, and returns false if ctx ends first.
+func (p *connPool) acquire(ctx context.Context) bool {
 	p.mu.Lock()
-	if p.free > 0 {
-		p.free--
+	if p.available > 0 {
+		p.available--
 		p.mu.Unlock()
 		return true
 	} else if len(p.idle) > 0 {
-		longest := p.idle[0]
+		longestIdle := p.idle[0]
 		p.idle = slices.Delete(p.idle, 0, 1)
 		p.mu.Unlock()
-		longest.Close()
+		longestIdle.Close()
 		return true
 	}
 	granted := make(chan struct{})
@@ -41,27 +41,27 @@
 		return true
 	case <-ctx.Done():
 	}
-	if !p.removeWaiter(granted) { // it was granted in this moment
+	if !p.removeWaiter(granted) { // a connection was granted at the same time
 		p.release(nil)
 	}
 	return false
 }
 
-// removeWaiter returns false for a waiter that has been granted a connection.
-func (p *pool) removeWaiter(granted chan struct{}) bool {
+// removeWaiter removes a waiter. It returns false if the waiter has been granted a connection.
+func (p *connPool) removeWaiter(granted chan struct{}) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	i := slices.Index(p.waiters, granted)
-	if i >= 0 {
-		p.waiters = slices.Delete(p.waiters, i, i+1)
+	index := slices.Index(p.waiters, granted)
+	if index >= 0 {
+		p.waiters = slices.Delete(p.waiters, index, index+1)
 	}
-	return i >= 0
+	return index >= 0
 }
 
-// release closes a connection, nil where none was opened, and grants what it reserved to the first waiter.
-func (p *pool) release(c *lines.Conn) {
-	if c != nil {
-		c.Close()
+// release closes a connection, or nil if none was opened, and passes its reservation to the first waiter.
+func (p *connPool) release(conn *lines.Conn) {
+	if conn != nil {
+		conn.Close()
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -69,31 +69,31 @@
 		close(p.waiters[0])
 		p.waiters = slices.Delete(p.waiters, 0, 1)
 	} else {
-		p.free++
+		p.available++
 	}
 }
 
-// putIdle keeps a connection for the next check, or closes it where there is a waiter. A kept one may be evicted until
-// takeIdle takes it.
-func (p *pool) putIdle(c *lines.Conn) (kept bool) {
+// putIdle keeps a connection for the next check, or closes it if there is a waiter. A connection that is kept may be
+// evicted before takeIdle is called.
+func (p *connPool) putIdle(conn *lines.Conn) (kept bool) {
 	p.mu.Lock()
 	if kept = len(p.waiters) == 0; kept {
-		p.idle = append(p.idle, c)
+		p.idle = append(p.idle, conn)
 	}
 	p.mu.Unlock()
 	if !kept {
-		p.release(c)
+		p.release(conn)
 	}
 	return kept
 }
 
-// takeIdle takes an idle connection into use; false means that it was evicted.
-func (p *pool) takeIdle(c *lines.Conn) bool {
+// takeIdle takes an idle connection into use. It returns false if the connection was evicted.
+func (p *connPool) takeIdle(conn *lines.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	i := slices.Index(p.idle, c)
-	if i >= 0 {
-		p.idle = slices.Delete(p.idle, i, i+1)
+	index := slices.Index(p.idle, conn)
+	if index >= 0 {
+		p.idle = slices.Delete(p.idle, index, index+1)
 	}
-	return i >= 0
+	return index >= 0
 }
--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -11,96 +11,98 @@
 	"brassmux/internal/lines"
 )
 
-// mustCheck checks servers, one after the other, which must answer with a load.
-func (a *checkClient) mustCheck(servers ...balance.ServerID) {
-	a.t.Helper()
+// mustCheck checks servers one after the other, and fails the test unless each answers with a load report.
+func (c *healthCheckClient) mustCheck(servers ...balance.ServerID) {
+	c.t.Helper()
 	for _, id := range servers {
-		if p := a.checkServer(id); p.Outcome != balance.OK || p.Report == nil {
-			a.t.Fatalf("got %+v", p)
+		if result := c.checkServer(id); result.Outcome != balance.OK || result.Report == nil {
+			c.t.Fatalf("health check failed: %+v", result)
 		}
 	}
 }
 
-// Health checks must not use up the descriptors of requests when a long list of servers comes: the longest idle
-// connection is evicted, and where all are in use a check waits until its timeout, and says nothing about its server.
+// With a long list of servers, health checks must not use up the descriptors that are reserved for requests. At the
+// limit the connection that has been idle longest is evicted. If all are in use a check waits until its timeout, and
+// its result must not count against the server.
 func TestPoolBoundsConnections(t *testing.T) {
-	ends := make(chan int, 10)
-	a := newCheckClient(t, func(n int, c net.Conn, in *bufio.Reader) {
-		for answer(c, in, "PONG x0=0.5\r\n") {
+	closedConns := make(chan int, 10)
+	client := newHealthCheckClient(t, func(connIndex int, conn net.Conn, reader *bufio.Reader) {
+		for answerCheck(conn, reader, "PONG x0=0.5\r\n") {
 		}
-		ends <- n
+		closedConns <- connIndex
 	})
-	a.pool.free = 2
-	a.mustCheck(1, 2, 1, 3)
-	if n := <-ends; n != 1 || len(a.conns) != 3 {
-		t.Errorf("%d was evicted for the third of %d", n, len(a.conns))
+	client.pool.available = 2
+	client.mustCheck(1, 2, 1, 3)
+	if evicted := <-closedConns; evicted != 1 || len(client.accepted) != 3 {
+		t.Errorf("connection %d of %d was evicted for server 3", evicted, len(client.accepted))
 	}
-	a.mustCheck(1, 2) // one is still idle, the other is opened again
-	if n := <-ends; n != 2 || len(a.conns) != 4 {
-		t.Errorf("%d was evicted for the last of %d", n, len(a.conns))
+	client.mustCheck(1, 2) // the connection to server 1 is still idle, the one to server 2 is opened again
+	if evicted := <-closedConns; evicted != 2 || len(client.accepted) != 4 {
+		t.Errorf("connection %d of %d was evicted for server 2", evicted, len(client.accepted))
 	}
 
-	for i := range 2 { // in use by others
-		if !a.pool.acquire(t.Context()) {
-			t.Fatal("no connection", i)
+	for i := range 2 { // all connections are in use
+		if !client.pool.acquire(t.Context()) {
+			t.Fatal("could not acquire connection", i)
 		}
 	}
-	a.cfg.HealthCheckTimeout = 50 * time.Millisecond
-	if p := a.checkServer(4); p.Outcome != balance.OK || p.Report != nil || len(a.conns) != 4 {
-		t.Errorf("got %+v over %d connections", p, len(a.conns))
+	client.cfg.HealthCheckTimeout = 50 * time.Millisecond
+	if result := client.checkServer(4); result.Outcome != balance.OK || result.Report != nil ||
+		len(client.accepted) != 4 {
+		t.Errorf("got %+v over %d connections", result, len(client.accepted))
 	}
-	a.pool.release(nil)
-	a.cfg.HealthCheckTimeout = patience
-	a.mustCheck(4)
+	client.pool.release(nil)
+	client.cfg.HealthCheckTimeout = testTimeout
+	client.mustCheck(4)
 }
 
-// A released connection is granted to the first waiter, and not kept idle.
+// A connection that is no longer in use must be granted to the first waiter rather than be kept idle.
 func TestPoolGrantsReleasedConnectionToWaiter(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	c, err := net.Dial("tcp", l.Addr().String())
+	defer listener.Close()
+	dialed, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	conn := lines.New(c.(*net.TCPConn))
-	t.Run("one is closed", func(t *testing.T) {
-		checkPoolGrants(t, func(p *pool) { p.release(nil) })
+	conn := lines.New(dialed.(*net.TCPConn))
+	t.Run("release", func(t *testing.T) {
+		checkPoolGrants(t, func(pool *connPool) { pool.release(nil) })
 	})
-	t.Run("one is idle", func(t *testing.T) {
-		checkPoolGrants(t, func(p *pool) {
-			if p.putIdle(conn) || p.takeIdle(conn) {
-				t.Error("it is kept")
+	t.Run("putIdle", func(t *testing.T) {
+		checkPoolGrants(t, func(pool *connPool) {
+			if pool.putIdle(conn) || pool.takeIdle(conn) {
+				t.Error("the connection was kept idle")
 			}
 		})
 	})
 }
 
-// checkPoolGrants checks that a pool of one connection grants it to a waiter when it comes free.
-func checkPoolGrants(t *testing.T, free func(*pool)) {
+// checkPoolGrants checks that a pool of one connection grants it to a waiter once makeAvailable was called.
+func checkPoolGrants(t *testing.T, makeAvailable func(*connPool)) {
 	t.Helper()
-	p := &pool{free: 1}
-	p.acquire(t.Context())
-	ended, cancel := context.WithCancel(t.Context())
+	pool := &connPool{available: 1}
+	pool.acquire(t.Context())
+	cancelledCtx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if p.acquire(ended) {
-		t.Error("two acquired one connection")
+	if pool.acquire(cancelledCtx) {
+		t.Error("the only connection was acquired twice")
 	}
 	acquired := make(chan bool)
-	go func() { acquired <- p.acquire(t.Context()) }()
+	go func() { acquired <- pool.acquire(t.Context()) }()
 	for waiting := 0; waiting == 0; time.Sleep(time.Millisecond) {
-		p.mu.Lock()
-		waiting = len(p.waiters)
-		p.mu.Unlock()
+		pool.mu.Lock()
+		waiting = len(pool.waiters)
+		pool.mu.Unlock()
 	}
-	free(p)
-	if !<-acquired || p.free != 0 || len(p.waiters) != 0 {
-		t.Errorf("%d are free, and %d wait", p.free, len(p.waiters))
+	makeAvailable(pool)
+	if !<-acquired || pool.available != 0 || len(pool.waiters) != 0 {
+		t.Errorf("not granted, or %d connections available and %d waiters", pool.available, len(pool.waiters))
 	}
-	p.release(nil)
-	if p.free != 1 {
-		t.Errorf("%d are free", p.free)
+	pool.release(nil)
+	if pool.available != 1 {
+		t.Errorf("%d connections available after release, want 1", pool.available)
 	}
 }
