--- a/internal/backend/golden_test.go
+++ b/internal/backend/golden_test.go
@@ -14,13 +14,13 @@
 		t.Fatal(err)
 	}
 	var got strings.Builder
-	c := New(Config{LoadField: "x0"}, nil, nil)
+	client := New(Config{LoadField: "x0"}, nil, nil)
 	for _, line := range []string{
 		"PONG eps=0,rif=3,x0=0.75\r\n", "BYE x0=1\r\n", "PONG x0=1e3\n", "PONG\r\n", "PONG a b\r\n", "x0=1\r\n",
 		"PONG x0=-1\r\n", "PONG x0=inf\r\n", "PONG x0=nan\r\n", "PONG x0=much,x0=2\r\n", "PONG x0=1 x0=2\r\n",
 		"PONG x0=0.5,x0=-3\r\n", "PONG x0\r\n", "PONG =\r\n", "BUSY x0=2,\r\n", "",
 	} {
-		if report := c.ParseLoadReport([]byte(line)); report == nil {
+		if report := client.ParseLoadReport([]byte(line)); report == nil {
 			fmt.Fprintf(&got, "%q: none\n", line)
 		} else {
 			fmt.Fprintf(&got, "%q: %v\n", line, report.Utilisation)
--- a/internal/exchange/attempt.go
+++ b/internal/exchange/attempt.go
@@ -27,13 +27,13 @@
 
 // StartAttempt registers a new attempt, which must end with EndAttempt or Accept. It returns false if the client no
 // longer awaits an answer. cancel is called to cancel the attempt.
-func (x *Exchange) StartAttempt(a Attempt, cancel func()) bool {
+func (x *Exchange) StartAttempt(attempt Attempt, cancel func()) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if !x.apply(eventAttemptStarted) {
 		return false
 	}
-	x.attempt, x.cancelAttempt, x.attemptStartedAt = a, cancel, time.Now()
+	x.attempt, x.cancelAttempt, x.attemptStartedAt = attempt, cancel, time.Now()
 	x.otherUsers.Add(1)
 	return true
 }
--- a/internal/exchange/client.go
+++ b/internal/exchange/client.go
@@ -38,8 +38,8 @@
 }
 
 // readClientLine reads the client's next line, and pauses during handovers. transferred is true if another process
-// continues the connection. A timeout error means that the client has not closed its connection after its final answer
-// or after the end of the server's connection.
+// continues the connection. A timeout error means that the client has not closed its connection in time after its final
+// answer or the end of the server's connection.
 func (x *Exchange) readClientLine() (line []byte, transferred bool, err error) {
 	for {
 		line, err = x.client.ReadLine()
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -24,10 +24,11 @@
 	ClientLeft(x *Exchange)
 	// AttemptAccepted is called when a server has accepted the request. elapsed is the time since the start of the
 	// attempt.
-	AttemptAccepted(x *Exchange, a Attempt, elapsed time.Duration)
+	AttemptAccepted(x *Exchange, attempt Attempt, elapsed time.Duration)
 	// AttemptEnded is called when an attempt has ended, or the connection of an accepted attempt. report is nil for
 	// none.
-	AttemptEnded(x *Exchange, a Attempt, outcome balance.Outcome, elapsed time.Duration, report *balance.LoadReport)
+	AttemptEnded(x *Exchange, attempt Attempt, outcome balance.Outcome, elapsed time.Duration,
+		report *balance.LoadReport)
 	// ResponseTime is called with the time that a server took to respond to a message, and repeatedly with the age of a
 	// message that is still without a response.
 	ResponseTime(x *Exchange, server balance.ServerID, elapsed time.Duration)
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -127,8 +127,8 @@
 	if !moveFirst && x.Move() {
 		t.Error("Move returned true after the server's final line")
 	}
-	if rest, err := io.ReadAll(reader); len(rest) > 0 || err != nil {
-		t.Errorf("client received %q, %v after the final line", rest, err)
+	if extra, err := io.ReadAll(reader); len(extra) > 0 || err != nil {
+		t.Errorf("client received %q, %v after the final line", extra, err)
 	}
 }
 
--- a/internal/frontend/accept.go
+++ b/internal/frontend/accept.go
@@ -18,9 +18,9 @@
 	acceptQuietPeriod      = 10 * time.Millisecond  // without a new connection, to regard the kernel's queue as empty
 )
 
-// maxAcceptTimeouts is the number of accept timeouts that are not taken to mean that the kernel's queue is empty. The
-// first one is caused by AcceptRemaining, which wakes Serve by a timeout. Of the two quiet periods after it the first
-// may time out despite a waiting connection: a process that was suspended checks its clock before the queue.
+// maxAcceptTimeouts is the number of accept timeouts after AcceptRemaining that do not yet mean that the kernel's queue
+// is empty. The first is caused by AcceptRemaining, which wakes Serve by a timeout. The second, after a quiet period,
+// may occur although a connection is waiting, because a process that was suspended checks its clock before the queue.
 const maxAcceptTimeouts = 2
 
 // errAcceptEnded is returned by accept after AcceptRemaining, once the kernel's queue is empty or the time is over.
