--- a/internal/exchange/client.go
+++ b/internal/exchange/client.go
@@ -104,8 +104,8 @@
 }
 
 // handleClientLeft ends an exchange whose client has disconnected before its answer. It returns false if the client no
-// longer awaits an answer. A client that closes only its sending side before its answer also counts as disconnected,
-// because it could send no messages after the answer.
+// longer awaits an answer. A client has nothing to send before its answer, so one that closes only its sending side
+// counts as disconnected too.
 func (x *Exchange) handleClientLeft() bool {
 	cancel, ended := x.endUnanswered(eventClientLeft, ClientLeft)
 	if ended {
--- a/internal/lines/conn.go
+++ b/internal/lines/conn.go
@@ -15,7 +15,7 @@
 // MaxLength is the maximum length of a line in bytes, including its line ending.
 const MaxLength = 4096
 
-// ErrTooLong is the error for a line longer than MaxLength.
+// ErrTooLong is the error for a line longer than MaxLength. Its text is sent to clients.
 var ErrTooLong = errors.New("line too long")
 
 // Conn is a TCP connection that is read line by line. One goroutine may read while another writes.
