--- a/node/requests.go
+++ b/node/requests.go
@@ -136,7 +136,7 @@
 		if request.ID == 0 { // not registered
 			return
 		}
-		l.unregister(request.ID) // Closed would do it only if an attempt is in flight
+		l.unregister(request.ID) // AttemptEnded would do it only if an attempt is in flight
 		if index := slices.Index(l.awaitingServer, request); index >= 0 {
 			l.awaitingServer = slices.Delete(l.awaitingServer, index, index+1)
 		}
@@ -144,7 +144,7 @@
 	})
 }
 
-// Accepted is part of exchange.Sink.
+// AttemptAccepted is part of exchange.Observer.
 func (l *loop) AttemptAccepted(request *exchange.Exchange, attempt exchange.Attempt, elapsed time.Duration) {
 	l.post(func() {
 		l.counters.served.Add(1)
@@ -160,7 +160,7 @@
 	})
 }
 
-// Closed is part of exchange.Sink.
+// AttemptEnded is part of exchange.Observer.
 func (l *loop) AttemptEnded(request *exchange.Exchange, attempt exchange.Attempt, outcome balance.Outcome,
 	elapsed time.Duration, report *balance.LoadReport) {
 	l.post(func() {
@@ -177,7 +177,7 @@
 	})
 }
 
-// Message is part of exchange.Sink. It drops the measurement if the event queue is full.
+// ResponseTime is part of exchange.Observer. It drops the measurement if the event queue is full.
 func (l *loop) ResponseTime(request *exchange.Exchange, server balance.ServerID, elapsed time.Duration) {
 	select {
 	case l.events <- func() { l.onMessageTime(request.ID, server, elapsed) }:
