--- a/node/attempts.go
+++ b/node/attempts.go
@@ -22,7 +22,7 @@
 		ServerStartedAtMillis: server.StartedAtMillis,
 	}
 	request.AttemptCount++
-	// AttemptEnded runs in a goroutine of its own: it posts to the loop, which would wait for itself while its queue is full.
+	// AttemptEnded runs in its own goroutine: it posts to the loop, which would wait for itself while its queue is full.
 	endAttempt := func(outcome balance.Outcome) { go l.AttemptEnded(request, attempt, outcome, 0, nil) }
 	if !l.invariants.allowAttempt(request, attempt, server.State) {
 		endAttempt(balance.Abandoned)
