--- a/balance/actions.go
+++ b/balance/actions.go
@@ -2,51 +2,51 @@
 
 import "time"
 
-// Action is something that the node is to do now: one of the types of this file. Actions are carried out in
-// the order in which Handle returns them.
+// Action is an instruction to the node: one of the types in this file. The node carries out actions
+// immediately, in the order in which Handle returns them.
 type Action interface{ action() }
 
 // Attempt sends a request to a server. The attempts of a request are numbered from 0.
 type Attempt struct {
 	ID      RequestID
 	Server  ServerID
-	Timeout time.Duration // 0 means until the client gives up
-	// SendWithin is the time within which the request has to be sent, or not at all; 0 means no such bound.
+	Timeout time.Duration // 0 means as long as the client waits
+	// SendWithin is the time after which the request must no longer be sent; 0 means no limit.
 	SendWithin time.Duration
 }
 
-// Reject is a final answer: the request was not executed, or may be repeated without harm.
+// Reject is a final answer. The request was not executed, or can safely be repeated.
 type Reject struct {
 	ID         RequestID
 	RetryAfter time.Duration // 0 means none
 	Reason     string        // for the log
 }
 
-// Fail is a final answer after which the request may have been executed.
+// Fail is a final answer. The request may have been executed and must not be repeated.
 type Fail struct{ ID RequestID }
 
-// Migrate closes an established connection gracefully, so that its client connects again.
+// Migrate closes an established connection gracefully, so that its client reconnects.
 type Migrate struct{ ID RequestID }
 
-// HealthCheck asks a server for its load.
+// HealthCheck requests a load report from a server.
 type HealthCheck struct{ Server ServerID }
 
-// SendGossip sends a message to another node. It may be delayed or lost.
+// SendGossip sends a message to another node. The message may be delayed or lost.
 type SendGossip struct {
-	ToNode  int // index of the receiver
+	ToNode  int // index of the receiving node
 	Message GossipMessage
 }
 
-// SetTimer requests a TimerFired event.
+// SetTimer requests a TimerFired event with the same Token.
 type SetTimer struct {
 	After time.Duration
 	Token uint64
 }
 
-// WatchEndpoints requests a watch of the endpoint list from now on.
+// WatchEndpoints opens a watch of the endpoint list.
 type WatchEndpoints struct{}
 
-// Log is a line for the operators' log.
+// Log writes a line to the operators' log.
 type Log struct{ Text string }
 
 func (Attempt) action()        {}
--- a/balance/admission.go
+++ b/balance/admission.go
@@ -8,59 +8,61 @@
 	"time"
 )
 
-// rateWindow is the time over which the usual rate of new clients is averaged.
+// rateWindow is the time over which the rate of new connections is averaged.
 const rateWindow = 20 * time.Second
 
-// request is one that an answer is owed for, or whose connection is established.
+// request is a Request with its state. It is kept until it is answered and its attempts and connection have
+// ended.
 type request struct {
 	Request
 	deadline time.Duration
 	attempts []attempt
-	affinity *affinityEntry // that it holds; nil without a client key
-	load     float64        // units of work a second; 0 until it is reported
+	affinity *affinityEntry // entry of the client; nil without a client key
+	load     float64        // units of work per second; 0 until reported
 
-	healthChecks int // servers checked for it; noHealthChecks when it waits for no further one
-	notSentCount int // attempts that sent nothing, and do not count
+	healthCheckCount int // servers checked for it, or noMoreHealthChecks
+	notSentCount     int // attempts that ended with NotSent
 
-	established  bool // the connection
-	answered     bool // nothing more is owed
-	waiting      bool // for a load report
-	waitTimerSet bool // which ends the wait
+	established  bool // a connection was accepted
+	answered     bool // no further answer is needed
+	awaitingLoad bool // waiting for a load report
+	waitTimerSet bool // the timer that limits this wait was set
 }
 
-// rankingKey is what the ranking of servers goes by: connections of a group belong together.
+// rankingKey returns the key that ranks the servers. All connections of a group share one key.
 func (r *request) rankingKey() string { return cmp.Or(r.Group, r.ClientKey) }
 
-// admit takes in a request.
+// admit adds a request and sets its deadline.
 func (b *Balancer) admit(ev Request) *request {
-	longest := ev.Timeout + b.config.TimeoutUncertainty
-	timeout := max(ev.Timeout, min(longest, cmp.Or(b.config.Classes[ev.Class].MaxTimeout, longest)))
+	maxTimeout := ev.Timeout + b.config.TimeoutUncertainty
+	timeout := max(ev.Timeout, min(maxTimeout, cmp.Or(b.config.Classes[ev.Class].MaxTimeout, maxTimeout)))
 	r := &request{Request: ev, deadline: b.now + timeout}
 	if r.rankingKey() == "" {
-		// A random group, so that all its attempts use the same ranking.
+		// A random group, so that all attempts of the request use the same ranking.
 		r.Group = string(binary.LittleEndian.AppendUint64(nil, b.rng.Uint64()))
 	}
 	b.requests[ev.ID] = r
 	if !ev.Reconnect {
-		b.updateConnectionRate(1) // a reconnect surge is not usual traffic
-	} else if b.reconnects++; b.now >= b.reconnectsSince+freshnessWindow {
-		b.reconnects, b.reconnectsSince = 1, b.now
+		b.updateConnectionRate(1) // reconnect surges do not count
+	} else if b.recentReconnects++; b.now >= b.reconnectsCountedSince+freshnessWindow {
+		b.recentReconnects, b.reconnectsCountedSince = 1, b.now
 	}
 	return r
 }
 
-// updateConnectionRate adds n new clients to the average.
+// updateConnectionRate adds n new connections to the average rate.
 func (b *Balancer) updateConnectionRate(n float64) {
-	elapsed := min(b.now-b.rateUpdatedAt, rateWindow).Seconds()
+	elapsed := min(b.now-b.connectionRateUpdatedAt, rateWindow).Seconds()
 	b.connectionRate += (n - b.connectionRate*elapsed) / rateWindow.Seconds()
-	b.rateUpdatedAt = b.now
+	b.connectionRateUpdatedAt = b.now
 }
 
-// place sends a request to a server, has it wait for that server's load, or gives its final answer.
+// place sends a request to a server, lets it wait for the load of that server, or answers it with a rejection
+// or failure.
 func (b *Balancer) place(r *request) {
 	s, reason := b.selectServer(r)
 	if s == nil {
-		b.abandon(r, reason)
+		b.rejectOrFail(r, reason)
 		return
 	}
 	if b.awaitLoad(r, s) {
@@ -74,11 +76,11 @@
 	b.emit(Attempt{ID: r.ID, Server: s.ID, Timeout: timeout, SendWithin: sendWithin})
 }
 
-// recordAttempt adds an attempt in flight.
+// recordAttempt adds an attempt in flight on a server.
 func (b *Balancer) recordAttempt(r *request, s *server) {
 	s.requests[r.ID] = r
-	s.openedSinceReport++
-	b.openCount++
+	s.connectionsSinceReport++
+	b.openConnections++
 	r.attempts = append(r.attempts, attempt{server: s, sentAt: b.now, inFlight: true, mayHaveExecuted: true})
 	b.affinity.release(r.affinity, b.now)
 	r.affinity = b.affinity.bind(r.ClientKey, s)
@@ -86,22 +88,23 @@
 	b.scheduleUtilisationCheck()
 }
 
-// abandon gives the final answer to a request that is not served.
-func (b *Balancer) abandon(r *request, reason string) {
+// rejectOrFail gives the final answer to a request that is not served.
+func (b *Balancer) rejectOrFail(r *request, reason string) {
 	class := b.config.Classes[r.Class]
-	repeatable := class.Idempotency == Idempotent ||
+	repeatableAnywhere := class.Idempotency == Idempotent ||
 		class.Idempotency == IdempotentByKey && class.KeyScope == KeyScopeAll
-	if r.firstExecuted() != nil && !repeatable {
+	if r.firstPossiblyExecuted() != nil && !repeatableAnywhere {
 		b.emit(Fail{ID: r.ID})
 	} else {
 		retryAfter := b.jitter(b.config.MaxRetryAfter * 2 / 3)
 		b.emit(Reject{ID: r.ID, RetryAfter: retryAfter, Reason: reason})
 	}
-	b.finish(r)
+	b.markAnswered(r)
 }
 
-// finish notes that nothing more is owed for a request.
-func (b *Balancer) finish(r *request) {
+// markAnswered records that a request needs no further answer. A request without an attempt in flight is
+// deleted.
+func (b *Balancer) markAnswered(r *request) {
 	r.answered = true
 	if !slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.inFlight }) {
 		b.affinity.release(r.affinity, b.now)
@@ -117,14 +120,14 @@
 
 func (b *Balancer) handleClientDisconnected(ev ClientDisconnected) {
 	if r := b.requests[ev.ID]; r != nil {
-		b.finish(r)
+		b.markAnswered(r)
 	}
 }
 
-// handleShutdown migrates clients, who would be cut off when their server or this node stops.
-func (b *Balancer) handleShutdown(server ServerID) {
+// handleShutdown migrates the clients that would be disconnected when their server or this node stops.
+func (b *Balancer) handleShutdown(serverID ServerID) {
 	for _, id := range slices.Sorted(maps.Keys(b.requests)) {
-		if b.requests[id].established && (server == 0 || b.ensureServer(server).requests[id] != nil) {
+		if b.requests[id].established && (serverID == 0 || b.ensureServer(serverID).requests[id] != nil) {
 			b.emit(Migrate{ID: id})
 		}
 	}
--- a/balance/affinity.go
+++ b/balance/affinity.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// affinityTTL is how long a client's server is remembered after its last connection.
+// affinityTTL is the time for which the server of a client is remembered after the client's last connection.
 const affinityTTL = 30 * time.Second
 
-// affinityTable remembers the server of each client while it has a connection and for affinityTTL after,
-// within a bound. When it is full, the entries whose last connection ended first leave.
+// affinityTable maps each client to its server while the client has a connection and for affinityTTL after
+// that. When it has maxEntries entries, those that have been idle longest are evicted.
 type affinityTable struct {
 	maxEntries int
 	entries    map[string]*affinityEntry
-	idle       []affinityEntry // copies in order of expiry; those that differ from their entry do not count
+	idle       []affinityEntry // copies in order of expiry; one that differs from its entry is outdated
 }
 
-// affinityEntry is the server of one client.
+// affinityEntry records the server of one client.
 type affinityEntry struct {
 	key         string
 	server      *server
-	holders     int           // connections and attempts of the client
+	connections int           // established or attempted by the client
 	serverStart time.Duration // start time of the server
-	expiresAt   time.Duration // once there is no holder
+	expiresAt   time.Duration // valid while connections is 0
 }
 
 func newAffinityTable(maxEntries int) affinityTable {
 	return affinityTable{maxEntries: maxEntries, entries: map[string]*affinityEntry{}}
 }
 
-// lookup returns the client's server if that still runs and takes connections.
+// lookup returns the server of a client if it is ready and has not restarted, else nil.
 func (t *affinityTable) lookup(key string) *server {
 	e := t.entries[key]
 	if e != nil && e.server.State == Ready && e.server.StartedAt == e.serverStart {
@@ -39,29 +39,29 @@
 	return nil
 }
 
-// bind adds a holder that has the client on a server. Without a key it returns nil.
+// bind adds a connection of a client to a server and returns the client's entry; nil without a key.
 func (t *affinityTable) bind(key string, s *server) *affinityEntry {
 	if key == "" {
 		return nil
 	}
 	e := cmp.Or(t.entries[key], &affinityEntry{key: key})
 	t.entries[key] = e
-	e.server, e.serverStart, e.holders = s, s.StartedAt, e.holders+1
+	e.server, e.serverStart, e.connections = s, s.StartedAt, e.connections+1
 	return e
 }
 
-// release takes a holder away; e may be nil.
+// release removes a connection from an entry, which may be nil.
 func (t *affinityTable) release(e *affinityEntry, now time.Duration) {
 	if e == nil {
 		return
 	}
-	if e.holders--; e.holders == 0 {
+	if e.connections--; e.connections == 0 {
 		e.expiresAt = now + affinityTTL
 		t.idle = append(t.idle, *e)
 	}
 }
 
-// expire removes entries whose time is over, and the next ones where the table is full.
+// expire removes expired entries, and while the table is full the entries that expire next.
 func (t *affinityTable) expire(now time.Duration) {
 	for len(t.idle) > 0 && (t.idle[0].expiresAt <= now || len(t.entries) >= t.maxEntries) {
 		if e := t.entries[t.idle[0].key]; e != nil && *e == t.idle[0] {
@@ -71,12 +71,12 @@
 	}
 }
 
-// remove drops an entry; e may be nil or replaced already.
+// remove deletes an entry, which may be nil or already replaced.
 func (t *affinityTable) remove(e *affinityEntry) {
 	if e != nil && t.entries[e.key] == e {
 		delete(t.entries, e.key)
 	}
 }
 
-// retarget has the client come back to another server.
+// retarget changes the server to which the client reconnects.
 func (e *affinityEntry) retarget(to *server) { e.server, e.serverStart = to, to.StartedAt }
--- a/balance/api.go
+++ b/balance/api.go
@@ -1,163 +1,170 @@
-// Package balance decides which server each connection goes to, and when connections are retried, rejected or
+// Package balance selects a server for each connection and decides when connections are retried, rejected or
 // migrated. It owns the state that these decisions need: the endpoint list as last received, the load and the
-// health of each server, the affinity of clients to servers, and the requests that are still owed an answer.
+// health of each server, the affinity of clients to servers, and the open requests.
 //
-// The package does no I/O, starts no goroutines and reads no clock. A node translates what happens to it into
-// events, passes them to Balancer.Handle and carries out the actions that this returns. Connections, timers,
-// the encoding of gossip, the source of the endpoint list and the leasing of quotas belong to the node.
+// The package does no I/O, starts no goroutines and reads no clock. A node passes events to Balancer.Handle
+// and carries out the returned actions. Connections, timers, the encoding of gossip, the source of the
+// endpoint list and the leasing of quotas belong to the node.
 //
-// Times are durations since one fixed moment that the caller chooses; the same moment for every node of a
-// deployment whose servers' start times are compared.
+// Times are durations since a fixed moment that the caller chooses. All nodes of a deployment have to use the
+// same moment if they compare the start times of servers.
 package balance
 
 import "time"
 
-// ServerID names a server. It is the same on every node and after a restart of the server.
+// ServerID identifies a server. It is the same on every node and survives a restart of the server.
 type ServerID uint64
 
-// RequestID names one request of a client. It is never reused.
+// RequestID identifies one request of a client. It is never reused.
 type RequestID uint64
 
-// Idempotency tells what a second execution of a request does.
+// Idempotency states whether a request may be executed more than once.
 type Idempotency int
 
 const (
-	// NonIdempotent requests repeat their effect. It is also assumed for unknown classes.
+	// NonIdempotent requests must be executed at most once. Requests of unknown classes count as such.
 	NonIdempotent Idempotency = iota
-	// IdempotentByKey requests are deduplicated by their key, within Class.KeyScope and Class.KeyWindow.
+	// IdempotentByKey requests are deduplicated by their idempotency key, within Class.KeyScope and
+	// Class.KeyWindow.
 	IdempotentByKey
-	// Idempotent requests may be repeated anywhere and at any time.
+	// Idempotent requests may be executed repeatedly, on any server and at any time.
 	Idempotent
 )
 
-// KeyScope is the group of servers that share the idempotency keys they have seen.
+// KeyScope is the set of servers that share a record of idempotency keys.
 type KeyScope int
 
 const (
-	// KeyScopeCell is shared by the servers of one cell.
+	// KeyScopeCell covers the servers of one cell.
 	KeyScopeCell KeyScope = iota
-	// KeyScopeZone is shared by the servers of one zone.
+	// KeyScopeZone covers the servers of one zone.
 	KeyScopeZone
-	// KeyScopeAll is shared by all servers.
+	// KeyScopeAll covers all servers.
 	KeyScopeAll
 )
 
-// Class describes a kind of request.
+// Class holds the properties that requests of one kind share.
 type Class struct {
 	Idempotency Idempotency
 	KeyScope    KeyScope
-	// KeyWindow is how long after the first attempt duplicates of an IdempotentByKey request are dropped.
+	// KeyWindow is the time after the first attempt within which servers drop duplicates of an
+	// IdempotentByKey request.
 	KeyWindow time.Duration
 	// MessageObjective is the latency objective of a message on an established connection.
 	MessageObjective time.Duration
-	// ConnectObjective is the latency objective of connection establishment; 0 means none.
+	// ConnectObjective is the latency objective of establishing a connection; 0 means none.
 	ConnectObjective time.Duration
-	// MaxTimeout is the longest that any client waits for a request with all its attempts; 0 means unknown.
+	// MaxTimeout is the longest time that any client waits for a request, including all attempts; 0 means
+	// unknown.
 	MaxTimeout time.Duration
 }
 
-// Config is fixed for the lifetime of a Balancer. The zero value of a field has the meaning given with it.
+// Config is the configuration of a Balancer, fixed for its lifetime.
 type Config struct {
-	// NodeCount is the number of nodes that share the servers, this one included; 0 means 1.
+	// NodeCount is the number of nodes that share the servers, including this one; 0 means 1.
 	NodeCount int
-	// NodeIndex is this node's index among them, from 0.
+	// NodeIndex is the index of this node among them, from 0.
 	NodeIndex int
-	// Classes by name. A request of an unknown class is NonIdempotent.
+	// Classes maps names to classes. A request of an unknown class is NonIdempotent.
 	Classes map[string]Class
-	// EndpointsPushed tells that changes of the endpoint list arrive without a watch request.
+	// EndpointsPushed is set if changes of the endpoint list arrive without a watch request.
 	EndpointsPushed bool
 
-	// Zone is this node's zone; "" means that zones are not taken into account.
+	// Zone is the zone of this node; if empty, zones are ignored.
 	Zone string
-	// CrossZoneCost is the cost of a connection to another zone; only whether it is over 0 matters.
+	// CrossZoneCost is the cost of a connection to another zone. Any value above 0 ranks the servers of this
+	// node's zone first.
 	CrossZoneCost float64
-	// GossipEnabled tells that nodes may exchange GossipMessages, by which they keep a load ledger of each
-	// server.
+	// GossipEnabled allows the nodes to exchange GossipMessages. From these, the owner of each server's load
+	// ledger records the load that every node puts on the server.
 	GossipEnabled bool
-	// CoresPerWeight is the capacity, in cores, of a server of Weight 1. It scales the load ledger.
+	// CoresPerWeight is the capacity, in cores, of a server of Weight 1. It converts the load in a ledger to
+	// a utilisation.
 	CoresPerWeight float64
 
-	// LateMessagesReported tells that LateMessage events occur; otherwise overload shows in load reports
-	// only.
+	// LateMessagesReported is set if LateMessage events occur. Otherwise only load reports reveal an
+	// overload.
 	LateMessagesReported bool
 
-	// MaxAttempts is the number of attempts for one request; 0 means 1.
+	// MaxAttempts bounds the attempts of one request; 0 means 1.
 	MaxAttempts int
-	// HealthChecksAllowed permits HealthCheck actions.
+	// HealthChecksAllowed allows HealthCheck actions.
 	HealthChecksAllowed bool
-	// MaxRetryAfter is the longest RetryAfter that clients obey; 0 means that they are given none.
+	// MaxRetryAfter is the longest Reject.RetryAfter that clients honour; 0 means that none is sent.
 	MaxRetryAfter time.Duration
-	// MaxOpenRequests bounds the requests held at once and the affinity table; 0 means the package's own
-	// bound.
+	// MaxOpenRequests is the number of requests that may be open at once. It also bounds the affinity table.
+	// 0 means defaultMaxOpenRequests.
 	MaxOpenRequests int
-	// TickInterval is the shortest time between two events; what is left of a request's time has to exceed it
-	// for a retry.
+	// TickInterval is the shortest time between two events. A request is retried only if more than this is
+	// left until its deadline.
 	TickInterval time.Duration
 
-	// SlowStartQuotas leases this node's part of the attempts on servers in slow start; nil means a fixed
-	// part.
+	// SlowStartQuotas leases this node's share of the attempts on servers in slow start; nil means a fixed
+	// share.
 	SlowStartQuotas SlowStartQuotas
 
-	// SlowStartMinCapacity is the fraction of its capacity that a server has right after its start, from 0 to
-	// 1.
+	// SlowStartMinCapacity is the fraction of its full capacity that a server has right after its start, from
+	// 0 to 1.
 	SlowStartMinCapacity float64
-	// SlowStartWindow is the time from a server's start until it has its whole capacity.
+	// SlowStartWindow is the time from the start of a server until it has its full capacity.
 	SlowStartWindow time.Duration
-	// OverloadFactor is the multiple of its present capacity at which a server in slow start is overloaded,
-	// if that much work comes for an OverloadWindow.
+	// OverloadFactor is the multiple of its current capacity that overloads a server in slow start if it
+	// lasts for an OverloadWindow.
 	OverloadFactor float64
-	// OverloadWindow is the time over which work is counted against OverloadFactor.
+	// OverloadWindow is the time over which load is compared with OverloadFactor.
 	OverloadWindow time.Duration
-	// ConnectionCapacity is the number of connections that all servers together hold; 0 means unknown.
+	// ConnectionCapacity is the number of connections that all servers together can hold; 0 means unknown.
 	ConnectionCapacity float64
 
 	// TimeoutUncertainty is the largest error of Request.Timeout in either direction.
 	TimeoutUncertainty time.Duration
-	// ClockUntrusted tells that nothing is known of the offset between this node's clock and the one by which
-	// start times are listed, until a ClockOffset arrives. Otherwise they are the same clock.
+	// ClockUntrusted is set if the offset between this node's clock and the clock that dates the listed start
+	// times is unknown until a ClockOffset arrives. Otherwise the two clocks count as equal.
 	ClockUntrusted bool
-	// StartTimeUncertainty is the largest error of Server.StartedAt in either direction, clock offsets aside.
+	// StartTimeUncertainty is the largest error of Server.StartedAt in either direction, in addition to clock
+	// offsets.
 	StartTimeUncertainty time.Duration
-	// KeepUnlistedServers tells that a server which disappears from the list without a Draining entry may
-	// still be used.
+	// KeepUnlistedServers allows the use of a server that disappears from the endpoint list without a
+	// Draining entry.
 	KeepUnlistedServers bool
 }
 
-// SlowStartQuotas is this node's share of the attempts that servers in slow start may get from all nodes. It
-// is called by Handle and must not call back.
+// SlowStartQuotas is this node's share of the attempts that all nodes may make on servers in slow start.
+// Handle calls its methods, which must not call the Balancer.
 type SlowStartQuotas interface {
-	// Remaining returns the number of attempts left for a server; -1 means none, but more can be requested.
+	// Remaining returns the number of attempts left for a server. A negative value means that none are left
+	// but that more can be requested.
 	Remaining(ServerID) int
-	// RequestMore asks the other nodes for attempts and reports whether an answer is on its way. The answer
-	// is delivered as a HealthCheckResult without a report, which resumes the requests that wait for the
+	// RequestMore requests more attempts from the other nodes and reports whether a response will follow. The
+	// response arrives as a HealthCheckResult without a report, which resumes the requests that wait for the
 	// server.
 	RequestMore(ServerID) bool
-	// Take uses up one attempt and reports whether there was one.
+	// Take consumes one attempt and reports whether one was left.
 	Take(ServerID) bool
 }
 
-// NotifiedNodesFraction is the part of WarmServerAttemptLimit that the nodes notified of a server's start may
-// use where others may not have been notified: those treat it as warm, and the limit has to hold for the sum
-// of both.
+// NotifiedNodesFraction is the fraction of WarmServerAttemptLimit that the nodes notified of a server's start
+// may use while other nodes may not have been notified. The latter treat the server as warm, and the attempts
+// of both groups together have to stay within the limit.
 const NotifiedNodesFraction = 2.0 / 3
 
-// WarmServerAttemptLimit returns the number of attempts from all nodes together in one OverloadWindow that a
-// warm server is sure to bear, when readyServers servers share the connections.
+// WarmServerAttemptLimit returns the number of attempts that a warm server can certainly take from all nodes
+// in one OverloadWindow, if readyServers servers share the connections.
 func (c Config) WarmServerAttemptLimit(readyServers int) float64 {
 	return c.ConnectionCapacity / c.SlowStartWindow.Seconds() * c.OverloadFactor *
 		c.OverloadWindow.Seconds() /
 		float64(max(readyServers, 1))
 }
 
-// ServerState is a server's state in the endpoint list.
+// ServerState is the state of a server in the endpoint list.
 type ServerState int
 
 const (
-	// Removed servers are not in the list any more.
+	// Removed servers are no longer in the list.
 	Removed ServerState = iota
-	// Draining servers keep their connections and get no new ones.
+	// Draining servers keep their connections but get no new ones.
 	Draining
-	// Ready servers get new connections.
+	// Ready servers accept new connections.
 	Ready
 )
 
@@ -167,9 +174,9 @@
 	State ServerState
 	Zone  string
 	Cell  int
-	// Weight is the capacity relative to other servers; values up to 0 mean 1.
+	// Weight is the capacity relative to other servers; 0 or less means 1.
 	Weight float64
-	// StartedAt is the time of the last start; 0 means long ago.
+	// StartedAt is the time of the latest start; 0 means that it was long ago.
 	StartedAt time.Duration
 }
 
@@ -177,24 +184,24 @@
 type Outcome int
 
 const (
-	// ServerError means that the server answered with an error; the request may have been executed.
+	// ServerError means that the server responded with an error; the request may have been executed.
 	ServerError Outcome = iota
 	// OK means that the request was served.
 	OK
 	// AtCapacity means that the server rejected the request without executing it.
 	AtCapacity
-	// TimedOut means that no answer came in time; the request may have been executed.
+	// TimedOut means that no response arrived in time; the request may have been executed.
 	TimedOut
-	// ConnectFailed means that no connection to the server came up; the request was not executed.
+	// ConnectFailed means that no connection to the server was established; the request was not executed.
 	ConnectFailed
 	// Reset means that the connection broke; the request may have been executed.
 	Reset
 	// Cancelled means that the node or the client cancelled the attempt; the request may have been executed.
 	Cancelled
-	// Abandoned means that the attempt was not started and that the request gets no further one.
+	// Abandoned means that the attempt was not started and that the request gets no further attempt.
 	Abandoned
-	// NotSent means that the attempt was cancelled before its first byte was sent, through no fault of the
-	// server. It does not count as an attempt.
+	// NotSent means that the attempt was cancelled before its first byte was sent, for a reason unrelated to
+	// the server. It does not count towards Config.MaxAttempts.
 	NotSent
 )
 
@@ -205,7 +212,7 @@
 
 // LoadReport is a server's report of its own load.
 type LoadReport struct {
-	// Utilisation is the work asked of the server over its capacity. A negative value means that the server
-	// did not tell, and counts as 0.
+	// Utilisation is the demanded work divided by the capacity. A negative value means that the server did
+	// not report it, and counts as 0.
 	Utilisation float64
 }
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -8,89 +8,91 @@
 )
 
 const (
-	// freshnessWindow is how long a report, a late message or a failure counts.
+	// freshnessWindow is the time for which a load report, a late message or a failure is taken into account.
 	freshnessWindow = 1500 * time.Millisecond
 
-	// targetUtilisation is the utilisation up to which a server gets any connection.
+	// targetUtilisation is the utilisation up to which a server gets connections of any group.
 	targetUtilisation = 0.6
-	// maxGroupUtilisation is the utilisation up to which a server gets connections of a group that it holds.
+	// maxGroupUtilisation is the utilisation up to which a server gets connections of a group that it already
+	// has.
 	maxGroupUtilisation = 0.85
-	// maxUtilisation is the utilisation over which a server gets no connection, where late messages are
-	// reported. It is below 1 as load reports are old and load varies.
+	// maxUtilisation is the utilisation above which a server gets no connections if late messages are
+	// reported. It is below 1 because load reports are old and load varies.
 	maxUtilisation = 0.9
 
-	// defaultMaxOpenRequests bounds the requests where the configuration does not.
+	// defaultMaxOpenRequests is used if Config.MaxOpenRequests is not set.
 	defaultMaxOpenRequests = 1 << 20
 
-	// maxIncarnations is the number of different incarnations; one digit of the encoded gossip holds them.
+	// maxIncarnations is the number of distinct incarnations. They fit in one digit of the encoded gossip.
 	maxIncarnations = 64
 )
 
-// Balancer holds one node's state and makes its decisions. It is not safe for concurrent use.
+// Balancer holds the state of one node and makes its decisions. It is not safe for concurrent use.
 type Balancer struct {
 	config    Config
 	rng       *rand.Rand
-	now       time.Duration // of the event at hand
-	actions   []Action      // returned by Handle, and reused
-	started   bool          // an event was handled, the first one at startedAt
+	now       time.Duration // time of the current event
+	actions   []Action      // result of Handle; the slice is reused
+	started   bool          // whether an event was handled, the first one at startedAt
 	startedAt time.Duration
 
 	servers  map[ServerID]*server
-	ready    []*server            // by ID, so that no decision depends on the order of a map
+	ready    []*server            // sorted by ID, so that no decision depends on map order
 	rankings map[string][]*server // by ranking key, valid until ready changes
 	requests map[RequestID]*request
 	affinity affinityTable
 
-	listStaleAt  time.Duration // from then on the endpoint list counts as stale
+	listStaleAt  time.Duration // when the endpoint list becomes stale
 	watchBackoff time.Duration // pause before the last watch request
 
-	utilisationLimit    float64 // over which a server gets no connection
-	groupUtilisation    float64 // up to which a server gets connections of a group that it holds
-	rebalanceSource     *server // is rebalanced once the load of others is known; nil for none
-	utilisationTimerSet bool
-	openCount           int // connections on all servers, attempts in flight included
-
-	startTimes      startTracker
-	connectionRate  float64 // new connections a second
-	rateUpdatedAt   time.Duration
-	trustClocks     bool // start times are taken as listed
-	handedOver      bool // a successor process makes the attempts on servers in slow start
-	reconnects      int  // clients that came back since reconnectsSince
-	reconnectsSince time.Duration
-
-	incarnation  uint8
-	incarnations map[int]uint8 // of the other nodes, as last received
-	meanLoad     float64       // of a connection, in units of work a second
-
-	serversVisited int // by all events so far; a measure of their cost
+	utilisationLimit      float64 // above which a server gets no connections
+	groupUtilisationLimit float64 // up to which a server gets connections of a group that it already has
+	rebalanceSource       *server // to be rebalanced once the load of other servers is known; nil for none
+	utilisationTimerSet   bool
+	openConnections       int // on all servers, including attempts in flight
+
+	startTimes              startTracker
+	connectionRate          float64 // new connections per second, averaged over rateWindow
+	connectionRateUpdatedAt time.Duration
+	trustListedTimes        bool // use likelyStart in place of latestStart for servers in the cached list
+	handedOver              bool // whether a successor process makes the attempts on servers in slow start
+	recentReconnects        int  // since reconnectsCountedSince
+	reconnectsCountedSince  time.Duration
+
+	incarnation        uint8
+	incarnations       map[int]uint8 // by index of the other nodes, as last received
+	meanConnectionLoad float64       // in units of work per second
+
+	serversVisited int // in all events so far; a measure of their cost
 }
 
-// New returns a Balancer without servers. The seed feeds its random draws; nodes need different ones.
+// New returns a Balancer without servers. The seed initialises its random number generator and has to differ
+// between nodes.
 func New(config Config, seed uint64) *Balancer {
 	config.NodeCount = max(config.NodeCount, 1)
 	config.MaxAttempts = max(config.MaxAttempts, 1)
 	config.MaxOpenRequests = cmp.Or(max(config.MaxOpenRequests, 0), defaultMaxOpenRequests)
 	b := &Balancer{
-		config:           config,
-		rng:              rand.New(rand.NewPCG(seed, 0)),
-		servers:          map[ServerID]*server{},
-		rankings:         map[string][]*server{},
-		requests:         map[RequestID]*request{},
-		affinity:         newAffinityTable(config.MaxOpenRequests),
-		listStaleAt:      math.MaxInt64,
-		utilisationLimit: 1,
-		groupUtilisation: targetUtilisation,
-		startTimes:       newStartTracker(config),
-		incarnation:      uint8(1 + seed%maxIncarnations),
-		incarnations:     map[int]uint8{},
+		config:                config,
+		rng:                   rand.New(rand.NewPCG(seed, 0)),
+		servers:               map[ServerID]*server{},
+		rankings:              map[string][]*server{},
+		requests:              map[RequestID]*request{},
+		affinity:              newAffinityTable(config.MaxOpenRequests),
+		listStaleAt:           math.MaxInt64,
+		utilisationLimit:      1,
+		groupUtilisationLimit: targetUtilisation,
+		startTimes:            newStartTracker(config),
+		incarnation:           uint8(1 + seed%maxIncarnations),
+		incarnations:          map[int]uint8{},
 	}
 	if config.LateMessagesReported {
-		b.utilisationLimit, b.groupUtilisation = maxUtilisation, maxGroupUtilisation
+		b.utilisationLimit, b.groupUtilisationLimit = maxUtilisation, maxGroupUtilisation
 	}
 	return b
 }
 
-// Handle takes one event and returns the actions that follow from it. The slice is valid until the next call.
+// Handle processes one event and returns the resulting actions. The slice is valid until the next call.
 func (b *Balancer) Handle(now time.Duration, ev Event) []Action {
 	b.now, b.actions = max(b.now, now), b.actions[:0]
 	if !b.started {
@@ -130,7 +132,7 @@
 	return b.actions
 }
 
-// Tokens of timers. Those from timerRequest up belong to the request whose ID is added.
+// Timer tokens. A token of timerRequest or higher belongs to the request with the ID token - timerRequest.
 const (
 	timerWatchEndpoints = 1
 	timerUtilisation    = 2
@@ -147,15 +149,15 @@
 	case timerGossip:
 		b.gossipAllLoads()
 	default:
-		b.endWait(RequestID(token - timerRequest))
+		b.endLoadWait(RequestID(token - timerRequest))
 	}
 }
 
-// emit adds an action to those of the event at hand.
-func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
+// emit adds an action to the result of the current event.
+func (b *Balancer) emit(action Action) { b.actions = append(b.actions, action) }
 
-// jitter returns a duration between a half and one and a half of d, so that nodes and clients do not act in
-// step.
+// jitter returns a random duration between 0.5 d and 1.5 d, so that nodes and clients do not act at the same
+// time.
 func (b *Balancer) jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.5 + b.rng.Float64()))
 }
--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -11,54 +11,55 @@
 )
 
 const (
-	// Pauses before a watch request, between which the backoff grows.
+	// The pause before a watch request grows from watchBackoffBase to maxWatchBackoff, and further if the
+	// discovery service is overloaded.
 	watchBackoffBase = 200 * time.Millisecond
 	maxWatchBackoff  = 2300 * time.Millisecond
-	// watchCallInterval is the least mean time between two watch requests of all nodes.
-	watchCallInterval = 50 * time.Millisecond
-	// busyServiceWait is the wait of a call from which on the discovery service counts as overloaded.
-	busyServiceWait = 500 * time.Millisecond
+	// watchRequestInterval is the minimum mean time between two watch requests by all nodes together.
+	watchRequestInterval = 50 * time.Millisecond
+	// overloadedServiceWait is the ServiceWait above which the discovery service counts as overloaded.
+	overloadedServiceWait = 500 * time.Millisecond
 )
 
-// server is an entry of the endpoint list, with what this node knows of the server.
+// server is an entry of the endpoint list, with the state that this node keeps for the server.
 type server struct {
 	Server
-	unlisted bool                   // no list has it any more, but none had it drain
-	requests map[RequestID]*request // its connections, attempts in flight included
-	score    float64                // in the ranking that is being made
-	start    *serverStart           // its last one; nil before it is listed
+	unlisted     bool                   // kept in use; missing from the list without having drained
+	requests     map[RequestID]*request // with connections or attempts in flight on the server
+	rankingScore float64                // used while a ranking is computed
+	start        *serverStart           // latest start; nil until the server is listed
 
 	consecutiveFailures int
 	ejectedUntil        time.Duration // 0 before the first ejection
-	lateMessageAt       time.Duration // when the last late message was reported
-	latenessRatio       float64       // its latency over the objective
+	lateMessageAt       time.Duration // time of the last LateMessage
+	latenessRatio       float64       // latency of that message divided by its objective
 
-	utilisation          float64       // as last reported
-	reportedAt           time.Duration // 0 for never
-	openedSinceReport    int           // connections that this report does not include
-	inheritedSinceReport int           // and those among the connections of the process before this one
-	waiting              []*request    // for a report
-	loadRequestedAt      time.Duration // last request to the owner of its ledger
-	rebalanceSampled     bool          // the health check in flight decides on rebalancing
-	rebalancedReport     time.Duration // reportedAt of the report for which others were checked
+	utilisation            float64       // from the last load report
+	reportedAt             time.Duration // time of that report; 0 means never
+	connectionsSinceReport int           // connections that the report does not include
+	inheritedSinceReport   int           // the same for connections of the previous process
+	waitingRequests        []*request    // waiting for a load report
+	loadRequestedAt        time.Duration // time of the last request to the owner of the ledger
+	rebalanceSampled       bool          // sampled to rebalance on the result of the health check
+	othersCheckedForReport time.Duration // reportedAt of the report for which others were checked
 
-	ledgerOwner  int                 // index of the node that keeps its load ledger
-	ledger       map[int]ledgerEntry // by node, at the owner
-	gossipedLoad float64             // as last sent to the owner
-	groupPresent []uint16            // hash of the group that was asked for, if the server holds it
+	ledgerOwner   int                 // index of the node that keeps the load ledger
+	ledger        map[int]ledgerEntry // by node index; kept by the owner
+	gossipedLoad  float64             // load as last sent to the owner
+	presentGroups []uint16            // hash of the requested group, if the server has it
 }
 
-// hasFreshReport tells whether the utilisation is known.
+// hasFreshReport reports whether the last load report is recent enough to use.
 func (s *server) hasFreshReport(now time.Duration) bool {
 	return s.reportedAt > 0 && now < s.reportedAt+freshnessWindow
 }
 
-// ensureServer returns the entry of a server, which is added if need be.
+// ensureServer returns the state of a server, adding it if it is unknown.
 func (b *Balancer) ensureServer(id ServerID) *server {
 	if b.servers[id] == nil {
-		h := xxhash.Sum64(binary.LittleEndian.AppendUint64(nil, uint64(id)))
+		hash := xxhash.Sum64(binary.LittleEndian.AppendUint64(nil, uint64(id)))
 		b.servers[id] = &server{Server: Server{ID: id}, requests: map[RequestID]*request{},
-			ledger: map[int]ledgerEntry{}, ledgerOwner: int(h % uint64(b.config.NodeCount))}
+			ledger: map[int]ledgerEntry{}, ledgerOwner: int(hash % uint64(b.config.NodeCount))}
 	}
 	return b.servers[id]
 }
@@ -79,8 +80,8 @@
 	b.scheduleWatch(ev)
 }
 
-// mergeEndpoint takes over an entry of the list; cached tells that this process begins with it.
-func (b *Balancer) mergeEndpoint(endpoint Server, cached bool) {
+// mergeEndpoint applies an entry of an endpoint list. inCachedList is set if the list is a ListCached.
+func (b *Balancer) mergeEndpoint(endpoint Server, inCachedList bool) {
 	s := b.ensureServer(endpoint.ID)
 	if endpoint.State == Removed {
 		b.markRemoved(s)
@@ -88,16 +89,16 @@
 	}
 	if endpoint.StartedAt != s.StartedAt {
 		s.ejectedUntil, s.consecutiveFailures = 0, 0
-		s.start = b.startTimes.observe(endpoint, cached, b.now)
-		s.start.rotation = b.rotation(endpoint)
-		// The process before this one may have made attempts of which nothing is known.
+		s.start = b.startTimes.observe(endpoint, inCachedList, b.now)
+		s.start.roundingOffset = b.roundingOffset(endpoint)
+		// The previous process may have made attempts that this one has no record of.
 		s.start.blockedUntil = max(s.start.blockedUntil, b.startedAt+b.config.OverloadWindow)
 	}
 	s.Server, s.Weight, s.unlisted = endpoint, cmp.Or(max(endpoint.Weight, 0), 1), false
 }
 
-// markRemoved follows a list that does not have the server. Where such lists are not to be trusted, a healthy
-// server stays in use until it fails.
+// markRemoved handles a list that does not contain the server. With KeepUnlistedServers a healthy server
+// stays in use until it fails.
 func (b *Balancer) markRemoved(s *server) {
 	healthy := s.State == Ready && s.consecutiveFailures <= maxEjectionDoublings
 	s.unlisted = b.config.KeepUnlistedServers && healthy
@@ -106,7 +107,8 @@
 	}
 }
 
-// refreshReady works out anew what follows from the states of the servers.
+// refreshReady recomputes the ready servers, discards the rankings and deletes removed servers without
+// requests.
 func (b *Balancer) refreshReady() {
 	clear(b.rankings)
 	b.serversVisited += len(b.servers)
@@ -125,28 +127,28 @@
 // scheduleWatch sets the timer of the next watch request, if the update makes one necessary.
 func (b *Balancer) scheduleWatch(ev EndpointUpdate) {
 	b.listStaleAt = min(b.listStaleAt, b.now+freshnessWindow)
-	round := time.Duration(b.config.NodeCount) * watchCallInterval // one call of each node
+	roundDuration := time.Duration(b.config.NodeCount) * watchRequestInterval // one call by each node
 	switch {
 	case ev.Kind == ListDelta || ev.Kind == ListSnapshot:
 		b.watchBackoff, b.listStaleAt = 0, math.MaxInt64
 	case ev.Kind == ListCached && !b.config.EndpointsPushed:
-		after := time.Duration(b.rng.Float64() * float64(round-watchCallInterval) / 2)
-		b.emit(SetTimer{after, timerWatchEndpoints})
+		delay := time.Duration(b.rng.Float64() * float64(roundDuration-watchRequestInterval) / 2)
+		b.emit(SetTimer{delay, timerWatchEndpoints})
 	case ev.Kind == WatchFailed && !b.config.EndpointsPushed:
-		b.emit(SetTimer{b.nextWatchBackoff(ev.ServiceWait, round), timerWatchEndpoints})
+		b.emit(SetTimer{b.nextWatchBackoff(ev.ServiceWait, roundDuration), timerWatchEndpoints})
 	case ev.Kind != ListCached:
 		b.watchBackoff = 0
 		b.emit(SetTimer{b.jitter(watchBackoffBase), timerWatchEndpoints})
 	}
 }
 
-// nextWatchBackoff returns the pause after a failed call. Many nodes back off further from a service that let
-// their calls wait, so that it can work through its queue.
-func (b *Balancer) nextWatchBackoff(serviceWait, round time.Duration) time.Duration {
-	limit, extra := maxWatchBackoff, -serviceWait
-	if round > limit && (serviceWait > busyServiceWait || b.watchBackoff > limit) {
-		limit, extra = 4*round, b.jitter(round)
+// nextWatchBackoff returns the pause after a failed call. If there are many nodes, they back off further from
+// an overloaded service, so that it can work through its queue.
+func (b *Balancer) nextWatchBackoff(serviceWait, roundDuration time.Duration) time.Duration {
+	maxBackoff, extraDelay := maxWatchBackoff, -serviceWait
+	if roundDuration > maxBackoff && (serviceWait > overloadedServiceWait || b.watchBackoff > maxBackoff) {
+		maxBackoff, extraDelay = 4*roundDuration, b.jitter(roundDuration)
 	}
-	b.watchBackoff = min(max(2*b.watchBackoff, watchBackoffBase, round), limit)
-	return max(b.jitter(b.watchBackoff)+extra, b.jitter(watchBackoffBase))
+	b.watchBackoff = min(max(2*b.watchBackoff, watchBackoffBase, roundDuration), maxBackoff)
+	return max(b.jitter(b.watchBackoff)+extraDelay, b.jitter(watchBackoffBase))
 }
--- a/balance/events.go
+++ b/balance/events.go
@@ -2,72 +2,75 @@
 
 import "time"
 
-// Event is something that happened at this node: one of the types of this file.
+// Event is an occurrence at this node: one of the types in this file.
 type Event interface{ event() }
 
-// EndpointUpdate is news of the endpoint list, or of the attempt to get some.
+// EndpointUpdate is a change of the endpoint list or the failure of a call that requested it.
 type EndpointUpdate struct {
 	Kind    UpdateKind
 	Servers []Server
-	// ServiceWait is how long a call that ended in WatchFailed waited for the discovery service; 0 when no
-	// connection came up or a list was received.
+	// ServiceWait is the time that a call which ended in WatchFailed waited for a response of the discovery
+	// service; 0 if no connection was established or a list was received.
 	ServiceWait time.Duration
 }
 
-// UpdateKind tells how the servers of an EndpointUpdate are to be read.
+// UpdateKind defines how to apply the servers of an EndpointUpdate.
 type UpdateKind int
 
 const (
-	// WatchFailed means that a call to the discovery service failed or the watch broke; the last list stays.
+	// WatchFailed means that a call to the discovery service failed or the watch broke; the last list stays
+	// in force.
 	WatchFailed UpdateKind = iota
-	// ListDelta has only the entries that changed.
+	// ListDelta contains only the entries that changed.
 	ListDelta
-	// ListSnapshot has the whole list; servers that are not in it are removed.
+	// ListSnapshot contains all entries; servers that are missing from it are removed.
 	ListSnapshot
-	// ListCached has the whole list as last known, which may be out of date.
+	// ListCached contains all entries as last known; they may be out of date.
 	ListCached
-	// WatchBroken means that a watch which had delivered something broke or fell silent, or that another
-	// discovery service is called next; the last list stays.
+	// WatchBroken means that a watch which had delivered data broke or timed out, or that the next call goes
+	// to a different discovery service; the last list stays in force.
 	WatchBroken
 )
 
-// Request is a client's request for a connection. It is owed exactly one final answer.
+// Request is a client's request for a connection. It gets exactly one final answer.
 type Request struct {
 	ID    RequestID
 	Class string
 	// ClientKey identifies the client for affinity; it may be empty.
 	ClientKey string
-	// Group names connections that share work and are cheaper on one server; it may be empty.
+	// Group identifies connections that share work and cost less if they are on the same server; it may be
+	// empty.
 	Group string
-	// Timeout is the time until the client gives up.
+	// Timeout is the time for which the client waits.
 	Timeout time.Duration
-	// Reconnect tells that the client was here before: it repeats a request, or comes back after a broken
-	// connection.
+	// Reconnect is set if the client repeats a request or connects again after a broken connection.
 	Reconnect bool
 }
 
-// ClockOffset tells how far this node's clock may be ahead of the clock by which start times are listed. The
-// largest offset counts.
+// ClockOffset states how far this node's clock may be ahead of the reference clock that dates the listed
+// start times. The largest offset received is used.
 type ClockOffset struct {
 	Ahead time.Duration
-	// ReferenceRead tells that the other clock was read; otherwise it is only known that this node's was
-	// wrong.
+	// ReferenceRead is set if the reference clock was read. Otherwise this node's clock is only known to have
+	// been wrong.
 	ReferenceRead bool
 }
 
-// ExistingConnection is a connection that was established before this process started; its attempt has number
-// 0.
+// ExistingConnection is a connection that was established before this process started. Its attempt has the
+// number 0.
 type ExistingConnection struct {
 	Request
 	Server ServerID
-	// Inherited tells that the process before this one held it: the server's last report may include it.
+	// Inherited is set if the previous process of this node had the connection, so that the last load report
+	// of the server may include it.
 	Inherited bool
 }
 
-// ClientDisconnected tells that the client of a request is gone: nothing more is owed to it.
+// ClientDisconnected reports that the client of a request has disconnected, so that the request needs no
+// answer.
 type ClientDisconnected struct{ ID RequestID }
 
-// AttemptAccepted tells that the connection of a request is established.
+// AttemptAccepted reports that an attempt established the connection of a request.
 type AttemptAccepted struct {
 	ID      RequestID
 	Attempt int // number of the attempt
@@ -75,22 +78,22 @@
 	Elapsed time.Duration
 }
 
-// AttemptEnded tells how an attempt, or the connection that it established, ended.
+// AttemptEnded reports the end of an attempt or of the connection that it established.
 type AttemptEnded struct {
 	ID      RequestID
 	Attempt int // number of the attempt
 	Server  ServerID
 	Outcome Outcome
 	Elapsed time.Duration
-	// Final tells that nothing more is owed for the request.
+	// Final is set if the request needs no further answer.
 	Final  bool
 	Report *LoadReport
-	// GoAway tells that the server sent the client away, as a draining server does.
+	// GoAway is set if the server instructed the client to connect elsewhere, as a draining server does.
 	GoAway bool
 }
 
-// LateMessage gives the present latency of messages on an established connection. It is sent about once a
-// second while this is over a third of the shortest MessageObjective of any class.
+// LateMessage reports the current latency of messages on an established connection. It occurs about once a
+// second while the latency exceeds a third of the shortest MessageObjective of any class.
 type LateMessage struct {
 	ID      RequestID
 	Server  ServerID
@@ -99,21 +102,23 @@
 
 // GossipReceived is a message from another node.
 type GossipReceived struct {
-	FromNode int // index of the sender
+	FromNode int // index of the sending node
 	Message  GossipMessage
 }
 
-// GossipMessage is what one node sends another about a server.
+// GossipMessage is a message between nodes about the load of a server.
 type GossipMessage struct {
 	Kind GossipKind
-	// Incarnation is the same for all messages of a node from its start to its end.
+	// Incarnation identifies one run of the sending node. It is the same in all messages of that run.
 	Incarnation uint8
 	Server      ServerID
-	// Load is, in a GossipHeldLoad, the work of the sender's connections in microseconds of processor time a
-	// second; in a GossipLoadResponse, the utilisation by all nodes in millionths.
+	// Load is the load that the sender's connections put on the server, in microseconds of processor time per
+	// second, in a GossipHeldLoad. In a GossipLoadResponse it is the utilisation of the server by all nodes,
+	// in millionths.
 	Load float64
-	// Groups has hashes of group names: those held by the sender, the one of the request, or in the response
-	// the one of the request if it is at the server.
+	// Groups contains hashes of group names: of all groups that the sender has on the server in a
+	// GossipHeldLoad, of the group of the waiting request in a GossipLoadRequest, and of the same group in a
+	// GossipLoadResponse if it is on the server.
 	Groups []uint16
 }
 
@@ -121,15 +126,16 @@
 type GossipKind int
 
 const (
-	// GossipHeldLoad tells the owner of a server's load ledger what the sender holds there.
+	// GossipHeldLoad informs the owner of a server's load ledger of the load that the sender puts on the
+	// server.
 	GossipHeldLoad GossipKind = iota
-	// GossipLoadRequest asks the owner for the load of all nodes.
+	// GossipLoadRequest requests the load by all nodes from the owner of the ledger.
 	GossipLoadRequest
 	// GossipLoadResponse answers a GossipLoadRequest.
 	GossipLoadResponse
 )
 
-// ConnectionLoad tells the load of an established connection, in microseconds of processor time a second.
+// ConnectionLoad reports the load of an established connection, in microseconds of processor time per second.
 type ConnectionLoad struct {
 	ID   RequestID
 	Load float64
@@ -140,19 +146,19 @@
 	Server  ServerID
 	Outcome Outcome
 	Elapsed time.Duration
-	Report  *LoadReport // nil when the server sent none
+	Report  *LoadReport // nil if the server sent none
 }
 
-// TimerFired is the end of a SetTimer.
+// TimerFired reports that the timer of a SetTimer has expired.
 type TimerFired struct{ Token uint64 }
 
-// ShutdownAnnounced tells that a server, or with Server 0 this node, is about to shut down and that its
-// connections are to be migrated. It is repeated while there are some.
+// ShutdownAnnounced reports that a server, or this node if Server is 0, is about to shut down and that its
+// connections have to be migrated. It is repeated while there are any.
 type ShutdownAnnounced struct{ Server ServerID }
 
-// HandedOver tells whether another process of this node has taken over the attempts on servers in slow start.
-// From then on this process makes none, so that no limit is used twice. ToSuccessor is false when that
-// process failed and this one goes on.
+// HandedOver reports whether a successor process of this node has taken over the attempts on servers in slow
+// start. This process then makes no such attempts, so that no limit is used twice. ToSuccessor is false if
+// the successor failed and this process continues.
 type HandedOver struct{ ToSuccessor bool }
 
 func (EndpointUpdate) event()     {}
--- a/balance/healthcheck.go
+++ b/balance/healthcheck.go
@@ -7,28 +7,28 @@
 )
 
 const (
-	// maxHealthChecks bounds the servers that are checked for one request.
+	// maxHealthChecks bounds the number of servers that are checked for one request.
 	maxHealthChecks = 3
-	// loadRequestInterval is the least time between two requests for the load ledger of a server.
+	// loadRequestInterval is the minimum time between two GossipLoadRequests for the same server.
 	loadRequestInterval = watchBackoffBase
-	// utilisationCheckInterval is the time between two checks of servers that may be over their target.
+	// utilisationCheckInterval is the time between two checks of servers that may exceed targetUtilisation.
 	utilisationCheckInterval = time.Second
-	// noHealthChecks marks a request that is placed without waiting any further.
-	noHealthChecks = math.MaxInt
+	// noMoreHealthChecks is the healthCheckCount of a request that is placed without further waiting.
+	noMoreHealthChecks = math.MaxInt
 )
 
-// loadUnknown tells whether a server's load should be asked for before it gets the request.
+// loadUnknown reports whether the load of a server should be requested before the server gets the request.
 func (b *Balancer) loadUnknown(r *request, s *server) bool {
 	if b.config.GossipEnabled && s.ledgerOwner == b.config.NodeIndex {
 		b.applyLedgerLoad(s, b.aggregateLoad(s, []uint16{groupHash(r)}))
 	}
-	mayAsk := b.config.GossipEnabled && r.healthChecks < noHealthChecks ||
-		b.config.HealthChecksAllowed && r.healthChecks < maxHealthChecks
-	return mayAsk && b.now >= s.ejectedUntil && !s.hasFreshReport(b.now)
+	mayRequestLoad := b.config.GossipEnabled && r.healthCheckCount < noMoreHealthChecks ||
+		b.config.HealthChecksAllowed && r.healthCheckCount < maxHealthChecks
+	return mayRequestLoad && b.now >= s.ejectedUntil && !s.hasFreshReport(b.now)
 }
 
-// awaitLoad has a request wait for the load of the server selected for it, or for more of its slow-start
-// quota. It returns false where there is nothing to wait for.
+// awaitLoad makes a request wait for the load of its selected server or for a larger slow-start quota. It
+// returns false if no wait is needed.
 func (b *Balancer) awaitLoad(r *request, s *server) bool {
 	quotaRequested := b.config.SlowStartQuotas != nil && b.inSlowStart(s) &&
 		b.config.SlowStartQuotas.RequestMore(s.ID)
@@ -36,18 +36,18 @@
 		return false
 	}
 	b.requestLoad(r, s)
-	r.healthChecks++
+	r.healthCheckCount++
 	if !r.waitTimerSet {
 		r.waitTimerSet = true
-		left := r.deadline - b.now
-		wait := min(left/4, cmp.Or(b.config.Classes[r.Class].ConnectObjective/2, left))
+		timeLeft := r.deadline - b.now
+		wait := min(timeLeft/4, cmp.Or(b.config.Classes[r.Class].ConnectObjective/2, timeLeft))
 		b.emit(SetTimer{wait, timerRequest + uint64(r.ID)})
 	}
-	r.waiting, s.waiting = true, append(s.waiting, r)
+	r.awaitingLoad, s.waitingRequests = true, append(s.waitingRequests, r)
 	return true
 }
 
-// requestLoad asks for a server's load, unless that was done for another request just now.
+// requestLoad requests the load of a server, unless another request recently did.
 func (b *Balancer) requestLoad(r *request, s *server) {
 	switch {
 	case b.config.GossipEnabled:
@@ -58,22 +58,22 @@
 				Kind: GossipLoadRequest, Incarnation: b.incarnation, Server: s.ID, Groups: groups,
 			}})
 		}
-	case b.config.HealthChecksAllowed && len(s.waiting) == 0:
+	case b.config.HealthChecksAllowed && len(s.waitingRequests) == 0:
 		b.emit(HealthCheck{s.ID})
 	}
 }
 
-// endWait places a request whose time to wait for a load report is over.
-func (b *Balancer) endWait(id RequestID) {
+// endLoadWait places a request whose wait for a load report has timed out.
+func (b *Balancer) endLoadWait(id RequestID) {
 	if r := b.requests[id]; r != nil {
-		r.healthChecks = noHealthChecks
+		r.healthCheckCount = noMoreHealthChecks
 		b.resume(r)
 	}
 }
 
 func (b *Balancer) resume(r *request) {
-	if r.waiting && !r.answered {
-		r.waiting = false
+	if r.awaitingLoad && !r.answered {
+		r.awaitingLoad = false
 		b.place(r)
 	}
 }
@@ -84,21 +84,21 @@
 	}
 }
 
-// applyHealthCheck takes in the result of a health check, and places the requests that wait for it.
+// applyHealthCheck applies the result of a health check and places the requests that wait for it.
 func (b *Balancer) applyHealthCheck(s *server, ev HealthCheckResult) {
 	if ev.Outcome != OK {
 		b.eject(s)
 	} else if ev.Report != nil {
 		b.applyReport(s, ev.Report)
 	}
-	waiting := s.waiting
-	s.waiting = nil
+	waiting := s.waitingRequests
+	s.waitingRequests = nil
 	for _, r := range waiting {
-		// A refusal comes at once and does not use up the request's health checks: by an old list most
-		// servers may be gone.
+		// A refusal arrives at once and does not count as one of the request's health checks, because with an
+		// outdated list most servers may be gone.
 		refused := ev.Outcome == ServerError || ev.Outcome == ConnectFailed
-		if refused && r.healthChecks < noHealthChecks {
-			r.healthChecks--
+		if refused && r.healthCheckCount < noMoreHealthChecks {
+			r.healthCheckCount--
 		}
 		b.resume(r)
 	}
@@ -106,7 +106,7 @@
 
 func (b *Balancer) applyReport(s *server, report *LoadReport) {
 	s.utilisation, s.reportedAt, s.consecutiveFailures = max(report.Utilisation, 0), b.now, 0
-	s.openedSinceReport /= 2 // the report is itself some time old
+	s.connectionsSinceReport /= 2 // the report is itself some time old and may omit recent connections
 	overloaded := s.utilisation > 1 && !b.config.LateMessagesReported
 	if overloaded && (s.rebalanceSampled || b.sampled(s, maxRebalancedGroups)) {
 		b.rebalanceSource = s
@@ -117,7 +117,8 @@
 	}
 }
 
-// scheduleUtilisationCheck sets the timer of the next check, where overload shows in load reports only.
+// scheduleUtilisationCheck sets the timer of the next utilisation check if only load reports reveal an
+// overload.
 func (b *Balancer) scheduleUtilisationCheck() {
 	if !b.utilisationTimerSet && b.config.HealthChecksAllowed && !b.config.LateMessagesReported {
 		b.utilisationTimerSet = true
@@ -125,15 +126,16 @@
 	}
 }
 
-// checkUtilisation has servers checked that may be over their target by now: a reconnect surge is placed by
-// reports of idle servers.
+// checkUtilisation sends health checks to servers that may exceed targetUtilisation by now, as after a
+// reconnect surge that was placed while their last reports showed them idle.
 func (b *Balancer) checkUtilisation() {
 	b.utilisationTimerSet = false
 	b.serversVisited += len(b.ready)
 	for _, s := range b.ready {
-		open, added := len(s.requests), s.openedSinceReport
-		grown := s.utilisation*float64(open) > targetUtilisation*float64(open-added)
-		if open == 0 || !grown && 2*added < open {
+		connections, sinceReport := len(s.requests), s.connectionsSinceReport
+		mayExceedTarget := s.utilisation*float64(connections) >
+			targetUtilisation*float64(connections-sinceReport)
+		if connections == 0 || !mayExceedTarget && 2*sinceReport < connections {
 			continue
 		}
 		if s.rebalanceSampled = b.sampled(s, maxRebalancedGroups); s.rebalanceSampled {
--- a/balance/healthcheck_test.go
+++ b/balance/healthcheck_test.go
@@ -119,7 +119,7 @@
 			Server: first.ID})
 	}
 	// two of twelve are not in its report: 0.55 may be 0.66 by now
-	for 2*first.openedSinceReport >= len(first.requests) {
+	for 2*first.connectionsSinceReport >= len(first.requests) {
 		n.handle(loadReport(first, 0.55))
 	}
 	n.now += time.Second
--- a/balance/overload_test.go
+++ b/balance/overload_test.go
@@ -90,7 +90,7 @@
 // allows.
 func TestAffinityDoesNotOverloadOnOneReport(t *testing.T) {
 	n, first, second := newCheckingNode(1, 2)
-	n.config.LateMessagesReported, n.utilisationLimit, n.groupUtilisation = true, maxUtilisation,
+	n.config.LateMessagesReported, n.utilisationLimit, n.groupUtilisationLimit = true, maxUtilisation,
 		maxGroupUtilisation
 	for id := range RequestID(60) {
 		n.affinity.bind(fmt.Sprint("client-", id+1), first)
@@ -99,7 +99,7 @@
 		n.handle(ExistingConnection{Request: Request{ID: 100 + id, Class: "safe", Group: "group"},
 			Server: first.ID})
 	}
-	first.openedSinceReport = 0 // the report has these
+	first.connectionsSinceReport = 0 // the report has these
 	n.handle(loadReport(first, 0.4))
 	n.handle(loadReport(second, 0.1))
 	got := 0
--- a/balance/ranking_test.go
+++ b/balance/ranking_test.go
@@ -209,7 +209,7 @@
 // just under targetUtilisation, and past an overloaded first server it goes to one that holds it.
 func TestGroupStaysTogetherPastOverloadedServer(t *testing.T) {
 	n, first, second := newCheckingNode(1, 2, 3, 4)
-	n.utilisationLimit, n.groupUtilisation = maxUtilisation, maxGroupUtilisation
+	n.utilisationLimit, n.groupUtilisationLimit = maxUtilisation, maxGroupUtilisation
 	third := n.rank(&request{Request: Request{Group: "group"}})[2]
 	for id, s := range []*server{first, third} {
 		n.handle(ExistingConnection{Request: Request{ID: RequestID(100 + id), Class: "safe", ClientKey: "old",
@@ -235,7 +235,7 @@
 		}
 		n.affinity = affinityTable{maxEntries: 9, entries: map[string]*affinityEntry{}}
 		for _, s := range n.servers {
-			s.openedSinceReport = 0
+			s.connectionsSinceReport = 0
 		}
 	}
 }
--- a/balance/rebalance.go
+++ b/balance/rebalance.go
@@ -6,18 +6,19 @@
 	"slices"
 )
 
-// maxRebalancedGroups is the number of groups that all nodes together migrate off a server in a second.
+// maxRebalancedGroups is the mean number of groups that all nodes together migrate off a server per second.
 const maxRebalancedGroups = 4
 
-// sampled draws whether this node is to act on a server, so that on average count of all nodes do, by their
-// part of its connections.
-func (b *Balancer) sampled(s *server, count float64) bool {
-	fraction := float64(len(s.requests)*len(b.ready)) / float64(b.openCount*b.config.NodeCount)
-	return b.rng.Float64() <= count*fraction
+// sampled reports whether this node is selected to act on a server. The selection is random: on average
+// targetNodes of all nodes are selected, each with a probability proportional to its share of the
+// connections.
+func (b *Balancer) sampled(s *server, targetNodes float64) bool {
+	connectionShare := float64(len(s.requests)*len(b.ready)) / float64(b.openConnections*b.config.NodeCount)
+	return b.rng.Float64() <= targetNodes*connectionShare
 }
 
-// handleLateMessage notes how late a server's messages are. The later they are, the more of the nodes
-// rebalance it, up to two groups at a time.
+// handleLateMessage records the lateness of a server's messages. The later they are, the more nodes rebalance
+// the server, up to a mean of two groups at a time.
 func (b *Balancer) handleLateMessage(ev LateMessage) {
 	r, s := b.requests[ev.ID], b.servers[ev.Server]
 	if r == nil || s == nil {
@@ -30,30 +31,31 @@
 	}
 }
 
-// rebalance migrates one group off a server, the one that ranks the server lowest, so that all nodes choose
-// the same. Where no server is known to have headroom, others are checked first.
+// rebalance migrates one group off a server: the group that ranks the server lowest, so that all nodes choose
+// the same group. If no other server is known to have headroom, it sends health checks to other servers
+// first.
 func (b *Balancer) rebalance(s *server) {
 	b.rebalanceSource = nil
 	groups := map[string][]*request{}
 	s.collectEstablished(groups)
-	place := func(key string) int { return slices.Index(b.rank(groups[key][0]), s) }
+	position := func(key string) int { return slices.Index(b.rank(groups[key][0]), s) }
 	keys := slices.SortedFunc(maps.Keys(groups), func(x, y string) int {
-		return cmp.Or(place(y)-place(x), len(groups[x])-len(groups[y]), cmp.Compare(x, y))
+		return cmp.Or(position(y)-position(x), len(groups[x])-len(groups[y]), cmp.Compare(x, y))
 	})
 	for _, key := range keys {
 		if b.migrateGroup(groups[key], s) {
 			return
 		}
 	}
-	checked := s.rebalancedReport == s.reportedAt // others were, for this report
-	if len(keys) > 0 && s.lateMessageAt != b.now && s.hasFreshReport(b.now) && !checked {
-		b.rebalanceSource, s.rebalancedReport = s, s.reportedAt
+	othersChecked := s.othersCheckedForReport == s.reportedAt // with the current report of s
+	if len(keys) > 0 && s.lateMessageAt != b.now && s.hasFreshReport(b.now) && !othersChecked {
+		b.rebalanceSource, s.othersCheckedForReport = s, s.reportedAt
 		b.checkOthers(groups[keys[0]][0], s)
 	}
 }
 
-// collectEstablished adds the established connections to groups by ranking key. A map of the caller's stays
-// on its stack.
+// collectEstablished adds the established connections to groups by ranking key. The map is a parameter so
+// that it stays on the caller's stack.
 func (s *server) collectEstablished(groups map[string][]*request) {
 	for _, r := range s.requests {
 		if r.established {
@@ -62,7 +64,7 @@
 	}
 }
 
-// migrateGroup migrates a group off a server if there is another one for it, and tells whether there was.
+// migrateGroup migrates a group off a server if another server can take it, and reports whether one could.
 func (b *Balancer) migrateGroup(group []*request, from *server) bool {
 	slices.SortFunc(group, func(x, y *request) int { return cmp.Compare(x.ID, y.ID) })
 	to, ranksHigher := b.migrationTarget(group[0], from)
@@ -80,24 +82,25 @@
 	return true
 }
 
-// migrationTarget returns the first server of a request's ranking that may take it over, and whether it ranks
-// higher than the one that it leaves; nil if there is none.
+// migrationTarget returns the first server in the ranking of a request that can take it over, or nil, and
+// whether that server ranks higher than the current one.
 func (b *Balancer) migrationTarget(r *request, from *server) (to *server, ranksHigher bool) {
 	ranking := b.rank(r)
-	place := slices.Index(ranking, from)
+	fromPosition := slices.Index(ranking, from)
 	for i, s := range ranking {
 		reported := s.hasFreshReport(b.now)
-		busier := reported && s.utilisation > from.utilisation
-		headroom := (reported || from.lateMessageAt == b.now) && !b.isOverloaded(r, s, 0)
-		if s != from && b.now >= s.ejectedUntil && !busier &&
-			(headroom || i < place && b.config.LateMessagesReported) {
-			return s, i < place
+		moreUtilised := reported && s.utilisation > from.utilisation
+		hasHeadroom := (reported || from.lateMessageAt == b.now) && !b.isOverloaded(r, s, 0)
+		if s != from && b.now >= s.ejectedUntil && !moreUtilised &&
+			(hasHeadroom || i < fromPosition && b.config.LateMessagesReported) {
+			return s, i < fromPosition
 		}
 	}
 	return nil, false
 }
 
-// checkOthers sends health checks to the servers that rank highest for a request and whose load is unknown.
+// checkOthers sends up to maxHealthChecks health checks to the servers of unknown load that rank highest for
+// a request.
 func (b *Balancer) checkOthers(r *request, from *server) {
 	sent := 0
 	for _, s := range b.rank(r) {
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// attempt is one try to have a server execute a request.
+// attempt records one Attempt of a request.
 type attempt struct {
 	server          *server
 	sentAt          time.Duration
-	inFlight        bool // or its connection is established
+	inFlight        bool // until the attempt or the connection that it established ends
 	mayHaveExecuted bool
 }
 
-// firstExecuted returns the first attempt that may have been executed, or nil.
-func (r *request) firstExecuted() *attempt {
+// firstPossiblyExecuted returns the first attempt that the server may have executed, or nil.
+func (r *request) firstPossiblyExecuted() *attempt {
 	if i := slices.IndexFunc(r.attempts, func(a attempt) bool { return a.mayHaveExecuted }); i >= 0 {
 		return &r.attempts[i]
 	}
 	return nil
 }
 
-// mayRetryOn tells whether the request's class permits an execution on a server, after the attempts so far.
+// mayRetryOn reports whether the class of a request permits an attempt on a server after the previous
+// attempts.
 func (b *Balancer) mayRetryOn(r *request, s *server) bool {
-	class, first := b.config.Classes[r.Class], r.firstExecuted()
+	class, first := b.config.Classes[r.Class], r.firstPossiblyExecuted()
 	if first == nil || class.Idempotency == Idempotent {
 		return true
 	}
@@ -39,11 +40,12 @@
 	return class.Idempotency == IdempotentByKey && inScope && b.now < first.sentAt+class.KeyWindow
 }
 
-// attemptLimits returns the limits of a request's next attempt: its timeout, which leaves time for a retry,
-// and the time within which it has to be sent, as long as its server still knows the key.
+// attemptLimits returns the limits of the next attempt: its timeout, which leaves time for a retry, and the
+// time within which it has to be sent so that the servers still recognise its idempotency key. 0 means no
+// limit.
 func (b *Balancer) attemptLimits(r *request) (timeout, sendWithin time.Duration) {
 	class := b.config.Classes[r.Class]
-	if first := r.firstExecuted(); class.Idempotency == IdempotentByKey && first != nil {
+	if first := r.firstPossiblyExecuted(); class.Idempotency == IdempotentByKey && first != nil {
 		return 0, first.sentAt + class.KeyWindow - b.now
 	}
 	isLast := len(r.attempts)-r.notSentCount+1 >= b.config.MaxAttempts
@@ -65,8 +67,8 @@
 	a := &r.attempts[ev.Attempt]
 	a.inFlight, a.mayHaveExecuted = false, !ev.Outcome.NotExecuted()
 	delete(a.server.requests, r.ID)
-	a.server.openedSinceReport--
-	b.openCount--
+	a.server.connectionsSinceReport--
+	b.openConnections--
 	switch {
 	case ev.Outcome == OK:
 		a.server.consecutiveFailures = 0
@@ -79,7 +81,7 @@
 	}
 	b.gossipHeldLoad(a.server, 1)
 	if r.answered || ev.Final {
-		b.finish(r)
+		b.markAnswered(r)
 	} else {
 		b.place(r)
 	}
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -159,7 +159,7 @@
 	n.handle(EndpointUpdate{Kind: ListDelta, Servers: []Server{e}})
 	acts := n.requestInGroup(1)
 	for range maxHealthChecks {
-		if len(starting.waiting) > 0 {
+		if len(starting.waitingRequests) > 0 {
 			acts = n.handle(HealthCheckResult{Server: starting.ID, Outcome: OK}) // no quota is granted
 		}
 	}
--- a/balance/state.go
+++ b/balance/state.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// HandoverState is what one process of a node passes to the next: what it has learned, and what it has used
-// up of its limits. Established connections are not in it; the next process receives each as an
+// HandoverState is the state that one process of a node passes to its successor: its observations and its use
+// of limits. It does not contain established connections; the successor receives each as an
 // ExistingConnection.
 type HandoverState struct {
-	// TakenAt is the time by the clock of the process that took it, from which the next one's may differ; 0
-	// when it is not known.
+	// TakenAt is the time at which the state was taken, by the clock of the process that took it; 0 if
+	// unknown. The clock of the successor may differ.
 	TakenAt        time.Duration `json:"now"`
-	ConnectionRate float64       `json:"rate"` // new connections a second
+	ConnectionRate float64       `json:"rate"` // new connections per second
 	RateUpdatedAt  time.Duration `json:"rated"`
 
 	Servers    []ServerRecord   `json:"servers"`
 	Affinities []AffinityRecord `json:"clients"`
 }
 
-// ServerRecord is what is known of a server besides its entry in the endpoint list.
+// ServerRecord is the state of a server that its entry in the endpoint list does not contain.
 type ServerRecord struct {
 	ID                  ServerID      `json:"id"`
 	StartedAt           time.Duration `json:"up_since"`
@@ -32,8 +32,8 @@
 	ReportedAt             time.Duration `json:"loaded"`
 	ConnectionsSinceReport int           `json:"since"`
 
-	LatestStart time.Duration `json:"started"` // the latest time at which it may have started
-	// StartLearnedAt is when that start was first heard of; 0 means not.
+	LatestStart time.Duration `json:"started"` // latest time at which the server may have started
+	// StartLearnedAt is the time at which the node learned of that start; 0 if it did not.
 	StartLearnedAt time.Duration `json:"told"`
 }
 
@@ -45,10 +45,12 @@
 	ExpiresAt time.Duration `json:"until"`
 }
 
-// HandoverState returns what the next process of this node needs.
+// HandoverState returns the state for the successor process of this node.
 func (b *Balancer) HandoverState(now time.Duration) HandoverState {
 	b.updateConnectionRate(0)
-	state := HandoverState{TakenAt: now, ConnectionRate: b.connectionRate, RateUpdatedAt: b.rateUpdatedAt}
+	state := HandoverState{
+		TakenAt: now, ConnectionRate: b.connectionRate, RateUpdatedAt: b.connectionRateUpdatedAt,
+	}
 	for _, id := range slices.Sorted(maps.Keys(b.servers)) {
 		state.Servers = append(state.Servers, b.servers[id].record())
 	}
@@ -62,10 +64,11 @@
 	record := ServerRecord{
 		ID: s.ID, StartedAt: s.StartedAt,
 		EjectedUntil: s.ejectedUntil, ConsecutiveFailures: s.consecutiveFailures,
-		Utilisation: s.utilisation, ReportedAt: s.reportedAt, ConnectionsSinceReport: s.openedSinceReport,
+		Utilisation: s.utilisation, ReportedAt: s.reportedAt,
+		ConnectionsSinceReport: s.connectionsSinceReport,
 	}
 	if s.StartedAt > 0 {
-		record.LatestStart, record.StartLearnedAt = s.start.latest, s.start.learnedAt
+		record.LatestStart, record.StartLearnedAt = s.start.latestStart, s.start.learnedAt
 	}
 	return record
 }
@@ -74,27 +77,27 @@
 	record := AffinityRecord{
 		ClientKey: e.key, Server: e.server.ID, StartedAt: e.serverStart, ExpiresAt: e.expiresAt,
 	}
-	if e.holders > 0 {
+	if e.connections > 0 {
 		record.ExpiresAt = now + affinityTTL
 	}
 	return record
 }
 
-// Restore takes over from the process before this one; it is called after the first endpoint list. Records
-// that do not fit the list, or have times in the future, are left out: the state can make this process more
-// careful than an empty one, and remember more, but nothing else.
+// Restore loads the state of the previous process. It has to be called after the first endpoint list. Records
+// that do not match the list, or have times in the future, are ignored. Compared with an empty state, the
+// loaded state can make this process more cautious and better informed, but has no other effect.
 func (b *Balancer) Restore(now time.Duration, state HandoverState) {
 	b.now = max(b.now, now)
 	state.shiftClock(now)
 	if state.ConnectionRate >= 0 && state.RateUpdatedAt <= now {
-		b.connectionRate, b.rateUpdatedAt = state.ConnectionRate, state.RateUpdatedAt
+		b.connectionRate, b.connectionRateUpdatedAt = state.ConnectionRate, state.RateUpdatedAt
 	}
 	for _, record := range state.Servers {
 		if s := b.servers[record.ID]; s != nil && s.StartedAt == record.StartedAt {
 			b.restoreServer(s, record, now)
 		}
 	}
-	// In the order in which the table lets them expire.
+	// By time of expiry, as affinityTable.idle requires.
 	slices.SortFunc(state.Affinities, func(x, y AffinityRecord) int {
 		return cmp.Or(cmp.Compare(x.ExpiresAt, y.ExpiresAt), cmp.Compare(x.ClientKey, y.ClientKey))
 	})
@@ -117,25 +120,25 @@
 
 func (b *Balancer) restoreAffinity(record AffinityRecord, now time.Duration) {
 	s := b.servers[record.Server]
-	full := len(b.affinity.entries) >= b.affinity.maxEntries
-	if s == nil || record.ClientKey == "" || record.ExpiresAt <= now || full {
+	tableFull := len(b.affinity.entries) >= b.affinity.maxEntries
+	if s == nil || record.ClientKey == "" || record.ExpiresAt <= now || tableFull {
 		return
 	}
-	e := &affinityEntry{key: record.ClientKey, server: s, serverStart: record.StartedAt,
+	restored := &affinityEntry{key: record.ClientKey, server: s, serverStart: record.StartedAt,
 		expiresAt: min(record.ExpiresAt, now+affinityTTL)}
-	b.affinity.entries[e.key] = e
-	b.affinity.idle = append(b.affinity.idle, *e)
+	b.affinity.entries[restored.key] = restored
+	b.affinity.idle = append(b.affinity.idle, *restored)
 }
 
-// shiftClock turns times by the clock of the process before this one into times by this one's, at which it is
-// now.
+// shiftClock converts times by the clock of the previous process to the clock of this one, whose current time
+// is now.
 func (s *HandoverState) shiftClock(now time.Duration) {
 	if s.TakenAt == 0 {
 		return
 	}
 	offset := now - s.TakenAt
 	shift := func(at *time.Duration) {
-		if *at > 0 { // 0 is no time
+		if *at > 0 { // 0 means that there is no time
 			*at = max(*at+offset, 1)
 		}
 	}
@@ -153,21 +156,21 @@
 	s.TakenAt = now
 }
 
-// handleExistingConnection counts a connection that was established before this process.
+// handleExistingConnection adds a connection that was established before this process started.
 func (b *Balancer) handleExistingConnection(ev ExistingConnection) {
 	r, s := b.admit(ev.Request), b.ensureServer(ev.Server)
 	r.established, r.answered = true, true
 	b.recordAttempt(r, s)
 	switch {
 	case ev.Inherited && s.inheritedSinceReport > 0:
-		s.inheritedSinceReport-- // the report does not include it
+		s.inheritedSinceReport-- // the load report does not include the connection
 	case ev.Inherited:
-		s.openedSinceReport--
+		s.connectionsSinceReport--
 	}
 }
 
-// handleHandedOver blocks slow start for a window in either case, as both processes may have made attempts in
-// it.
+// handleHandedOver blocks attempts on servers in slow start for an OverloadWindow, whichever process goes on
+// to make them, because both may have made some within that window.
 func (b *Balancer) handleHandedOver(ev HandedOver) {
 	b.handedOver = ev.ToSuccessor
 	b.startTimes.block(b.now + b.config.OverloadWindow)
--- a/balance/state_test.go
+++ b/balance/state_test.go
@@ -100,7 +100,7 @@
 		t.Error("nothing was held")
 	}
 	next.handle(ClientDisconnected{})
-	if e := next.affinity.entries["f0"]; e != nil && e.holders == 0 {
+	if e := next.affinity.entries["f0"]; e != nil && e.connections == 0 {
 		t.Error("an entry outlives its time")
 	}
 }
@@ -124,8 +124,8 @@
 	}
 	s := next.servers[1]
 	// five came after the report
-	if len(s.requests) != 20 || s.openedSinceReport != 5 || next.openCount != 20 {
-		t.Errorf("holds %d, %d of them new", len(s.requests), s.openedSinceReport)
+	if len(s.requests) != 20 || s.connectionsSinceReport != 5 || next.openConnections != 20 {
+		t.Errorf("holds %d, %d of them new", len(s.requests), s.connectionsSinceReport)
 	}
 	next.handle(AttemptEnded{ID: 1, Server: 1, Outcome: OK, Final: true})
 	if len(s.requests) != 19 {
--- a/balance/watch_test.go
+++ b/balance/watch_test.go
@@ -250,7 +250,7 @@
 	next := func(took time.Duration) time.Duration {
 		return n.handle(EndpointUpdate{Kind: WatchFailed, ServiceWait: took})[0].(SetTimer).After
 	}
-	all := time.Duration(config.NodeCount) * watchCallInterval
+	all := time.Duration(config.NodeCount) * watchRequestInterval
 	for i, longest := range []time.Duration{all, 2 * all, 4 * all, 4 * all} {
 		took := 2 * time.Second
 		if i == 2 {
