--- a/balance/affinity_test.go
+++ b/balance/affinity_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-func TestAffinityLastsForItsTTL(t *testing.T) {
-	for _, c := range []struct {
-		after time.Duration
-		kept  bool
+func TestAffinityExpiresAfterTTL(t *testing.T) {
+	for _, test := range []struct {
+		elapsed time.Duration
+		want    bool
 	}{{affinityTTL - ms, true}, {affinityTTL, false}} {
 		n := newTestNode(testConfig(), readyServers(1, 2)...)
-		id, first := n.establish("safe", "client")
-		n.end(id, first)
-		n.now += c.after
+		id, server := n.establish("safe", "client")
+		n.end(id, server)
+		n.now += test.elapsed
 		n.handle(TimerFired{Token: 99999})
-		if got := n.affinity.lookup("client") != nil; got != c.kept {
-			t.Errorf("%v after the end the entry is there: %v", c.after, got)
+		if kept := n.affinity.lookup("client") != nil; kept != test.want {
+			t.Errorf("%v after the connection ended: affinity kept is %v", test.elapsed, kept)
 		}
 	}
 }
@@ -26,26 +26,26 @@
 	n := newTestNode(testConfig(), readyServers(1)...)
 	id, _ := n.establish("safe", "client")
 	n.end(id, 1)
-	all := readyServers(1, 2, 3, 4, 5, 6, 7, 8)
-	n.handle(EndpointUpdate{Kind: ListSnapshot, Servers: all})
+	servers := readyServers(1, 2, 3, 4, 5, 6, 7, 8)
+	n.handle(EndpointUpdate{Kind: ListSnapshot, Servers: servers})
 	if _, s := n.place("safe", "client"); s != 1 {
-		t.Errorf("the client went to %d, not back to 1", s)
+		t.Errorf("client was placed on server %d, want 1", s)
 	}
-	all[0].State = Draining
-	n.handle(EndpointUpdate{Kind: ListDelta, Servers: all[:1]})
+	servers[0].State = Draining
+	n.handle(EndpointUpdate{Kind: ListDelta, Servers: servers[:1]})
 	if _, s := n.place("safe", "client"); s == 1 {
-		t.Error("the client went to a draining server")
+		t.Error("client was placed on a draining server")
 	}
 }
 
-func TestRestartOfServerRemovesAffinity(t *testing.T) {
+func TestServerRestartRemovesAffinity(t *testing.T) {
 	n := newTestNode(testConfig(), readyServers(1, 2)...)
 	n.establish("safe", "client")
-	at := n.affinity.lookup("client").Server
-	at.StartedAt = n.now
-	n.handle(EndpointUpdate{Kind: ListDelta, Servers: []Server{at}})
+	restarted := n.affinity.lookup("client").Server
+	restarted.StartedAt = n.now
+	n.handle(EndpointUpdate{Kind: ListDelta, Servers: []Server{restarted}})
 	if n.affinity.lookup("client") != nil {
-		t.Error("the entry outlived a restart of its server")
+		t.Error("affinity remains after a restart of its server")
 	}
 }
 
@@ -53,16 +53,16 @@
 	config := testConfig()
 	config.MaxOpenRequests = 4
 	n := newTestNode(config, readyServers(1, 2)...)
-	n.establish("safe", "standing")
+	n.establish("safe", "connected")
 	for i := range 6 {
 		id, s := n.establish("safe", fmt.Sprint("ended-", i))
 		n.end(id, s)
 		if len(n.affinity.entries) > 4 {
-			t.Fatalf("the table holds %d entries, over its bound", len(n.affinity.entries))
+			t.Fatalf("affinity table has %d entries, limit is 4", len(n.affinity.entries))
 		}
 	}
-	if n.affinity.lookup("standing") == nil || n.affinity.lookup("ended-0") != nil ||
+	if n.affinity.lookup("connected") == nil || n.affinity.lookup("ended-0") != nil ||
 		n.affinity.lookup("ended-5") == nil {
-		t.Errorf("wrong entries were evicted: %v left", len(n.affinity.entries))
+		t.Errorf("wrong entries were evicted: %d left", len(n.affinity.entries))
 	}
 }
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// BenchmarkHandle measures one connection of a client from its request to its end, with a report between.
+// BenchmarkHandle measures one connection of a client from its request to its end, including a load report.
 func BenchmarkHandle(b *testing.B) {
 	for _, servers := range []int{8, 200} {
 		for _, gossip := range []bool{false, true} {
@@ -37,26 +37,26 @@
 	for i := range b.N {
 		id := RequestID(i + 1)
 		n.now += 2 * time.Millisecond
-		acts := n.Handle(n.now, Request{ID: id, Class: "safe", ClientKey: keys[i%512], Timeout: time.Second,
-			Reconnect: i%3 == 0})
-		to := sentTo(acts)
-		for _, a := range acts {
+		actions := n.Handle(n.now, Request{ID: id, Class: "safe", ClientKey: keys[i%512],
+			Timeout: time.Second, Reconnect: i%3 == 0})
+		target := sentTo(actions)
+		for _, a := range actions {
 			if check, ok := a.(HealthCheck); ok {
 				report := HealthCheckResult{Server: check.Server, Outcome: OK,
 					Report: &LoadReport{Utilisation: 0.3}}
-				to = max(to, sentTo(n.Handle(n.now, report)))
+				target = max(target, sentTo(n.Handle(n.now, report)))
 			}
 		}
-		if to == 0 {
+		if target == 0 {
 			n.Handle(n.now, ClientDisconnected{ID: id})
 			continue
 		}
-		n.Handle(n.now, AttemptAccepted{ID: id, Server: to})
-		n.Handle(n.now, AttemptEnded{ID: id, Server: to, Outcome: OK, Final: true})
+		n.Handle(n.now, AttemptAccepted{ID: id, Server: target})
+		n.Handle(n.now, AttemptEnded{ID: id, Server: target, Outcome: OK, Final: true})
 	}
 }
 
-// BenchmarkStream measures the steps of a recorded stream, driver included.
+// BenchmarkStream measures the steps of a recorded event stream, including the driver.
 func BenchmarkStream(b *testing.B) {
 	for _, name := range []string{"checks", "gossip", "slow start"} {
 		b.Run(name, func(b *testing.B) {
--- a/balance/golden_test.go
+++ b/balance/golden_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// fullMemory has every field set.
+// fullHandoverState returns a state with every field set.
 func fullHandoverState() HandoverState {
 	return HandoverState{
 		TakenAt: 90 * time.Second, ConnectionRate: 12.5, RateUpdatedAt: 89 * time.Second,
@@ -24,27 +24,27 @@
 	}
 }
 
-func TestHandoverStateKeepsItsBytes(t *testing.T) {
-	for file, memory := range map[string]HandoverState{"memory.json": fullHandoverState(),
+func TestHandoverStateEncoding(t *testing.T) {
+	for file, state := range map[string]HandoverState{"memory.json": fullHandoverState(),
 		"memory-empty.json": {}} {
 		golden, err := os.ReadFile("testdata/" + file)
 		if err != nil {
 			t.Fatal(err)
 		}
 		golden = bytes.TrimSpace(golden)
-		got, err := json.Marshal(memory)
+		encoded, err := json.Marshal(state)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !bytes.Equal(got, golden) {
-			t.Errorf("%s: written as %s", file, got)
+		if !bytes.Equal(encoded, golden) {
+			t.Errorf("%s: encoded as %s", file, encoded)
 		}
-		var read HandoverState
-		if err := json.Unmarshal(golden, &read); err != nil {
+		var decoded HandoverState
+		if err := json.Unmarshal(golden, &decoded); err != nil {
 			t.Fatal(err)
 		}
-		if !reflect.DeepEqual(read, memory) {
-			t.Errorf("%s: read as %+v", file, read)
+		if !reflect.DeepEqual(decoded, state) {
+			t.Errorf("%s: decoded as %+v", file, decoded)
 		}
 	}
 }
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -11,7 +11,7 @@
 
 const ms = time.Millisecond
 
-// The random events are the same in every run, so that the verdict is too.
+// TestMain fixes the random seed of rapid, so that every run checks the same random events.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "300",
@@ -23,7 +23,7 @@
 	os.Exit(m.Run())
 }
 
-// testConfig sets every limit; tests change what they are about.
+// testConfig returns a configuration with every limit set; tests override the fields that they cover.
 func testConfig() Config {
 	return Config{
 		NodeCount: 1, EndpointsPushed: true, MaxAttempts: 3, MaxRetryAfter: time.Second,
@@ -40,15 +40,15 @@
 	}
 }
 
-// testNode is a Balancer with a clock.
+// testNode is a Balancer with a clock and a counter of request IDs.
 type testNode struct {
 	*Balancer
-	now  time.Duration
-	next RequestID
+	now    time.Duration
+	nextID RequestID
 }
 
 func newTestNode(config Config, servers ...Server) *testNode {
-	n := &testNode{Balancer: New(config, 7), now: time.Minute, next: 1}
+	n := &testNode{Balancer: New(config, 7), now: time.Minute, nextID: 1}
 	n.handle(EndpointUpdate{Kind: ListCached, Servers: servers})
 	return n
 }
@@ -65,15 +65,15 @@
 func (n *testNode) handle(ev Event) []Action { return slices.Clone(n.Handle(n.now, ev)) }
 
 func (n *testNode) request(class, key string) (RequestID, []Action) {
-	id := n.next
-	n.next++
+	id := n.nextID
+	n.nextID++
 	return id, n.handle(Request{ID: id, Class: class, ClientKey: key, Timeout: 2 * time.Second})
 }
 
-// place sends a request and returns where it went; 0 means nowhere.
+// place passes a request to the node and returns the server of its attempt; 0 means that there is none.
 func (n *testNode) place(class, key string) (RequestID, ServerID) {
-	id, acts := n.request(class, key)
-	return id, sentTo(acts)
+	id, actions := n.request(class, key)
+	return id, sentTo(actions)
 }
 
 func (n *testNode) establish(class, key string) (RequestID, ServerID) {
@@ -86,8 +86,8 @@
 	n.handle(AttemptEnded{ID: id, Server: s, Outcome: OK, Final: true})
 }
 
-func sentTo(acts []Action) ServerID {
-	for _, a := range acts {
+func sentTo(actions []Action) ServerID {
+	for _, a := range actions {
 		if a, ok := a.(Attempt); ok {
 			return a.Server
 		}
@@ -95,16 +95,16 @@
 	return 0
 }
 
-// addConnections establishes connections without a client key on s.
+// addConnections adds established connections without a client key on s.
 func addConnections(n *testNode, s *server, count int) {
 	for range count {
-		n.handle(ExistingConnection{Request: Request{ID: n.next, Class: "safe"}, Server: s.ID})
-		n.next++
+		n.handle(ExistingConnection{Request: Request{ID: n.nextID, Class: "safe"}, Server: s.ID})
+		n.nextID++
 	}
 }
 
-func answer(acts []Action) string {
-	for _, a := range acts {
+func finalAnswer(actions []Action) string {
+	for _, a := range actions {
 		switch a.(type) {
 		case Reject:
 			return "reject"
@@ -115,20 +115,20 @@
 	return ""
 }
 
-// newCheckingNode returns a node that may send health checks, and the servers that rank first for the group
-// of the tests.
-func newCheckingNode(ids ...ServerID) (*testNode, *server, *server) {
+// newHealthCheckingNode returns a node that may send health checks, and the two servers that rank first for
+// the group "group".
+func newHealthCheckingNode(ids ...ServerID) (*testNode, *server, *server) {
 	config := testConfig()
 	config.HealthChecksAllowed = true
 	n := newTestNode(config, readyServers(ids...)...)
-	first, second := topServers(n)
+	first, second := topRankedServers(n)
 	return n, first, second
 }
 
-// topServers returns the servers that rank first for the group of the tests.
-func topServers(n *testNode) (first, second *server) {
-	order := n.rank(&request{Request: Request{Group: "group"}})
-	return order[0], order[1]
+// topRankedServers returns the two servers that rank first for the group "group".
+func topRankedServers(n *testNode) (first, second *server) {
+	ranking := n.rank(&request{Request: Request{Group: "group"}})
+	return ranking[0], ranking[1]
 }
 
 func (n *testNode) requestInGroup(id RequestID) []Action {
@@ -136,36 +136,36 @@
 		Timeout: time.Second})
 }
 
-func loadReport(s *server, load float64) HealthCheckResult {
-	return HealthCheckResult{Server: s.ID, Outcome: OK, Report: &LoadReport{Utilisation: load}}
+func loadReport(s *server, utilisation float64) HealthCheckResult {
+	return HealthCheckResult{Server: s.ID, Outcome: OK, Report: &LoadReport{Utilisation: utilisation}}
 }
 
-// watchTimers returns the timers of the next utilisation check.
-func watchTimers(acts []Action) (found []SetTimer) {
-	for _, a := range acts {
-		if s, ok := a.(SetTimer); ok && s.Token == timerUtilisation {
-			found = append(found, s)
+// utilisationTimers returns the timers of utilisation checks among the actions.
+func utilisationTimers(actions []Action) (timers []SetTimer) {
+	for _, a := range actions {
+		if timer, ok := a.(SetTimer); ok && timer.Token == timerUtilisation {
+			timers = append(timers, timer)
 		}
 	}
-	return found
+	return timers
 }
 
-// fleet returns nodes with the same endpoint list, each with a seed of its own.
-func fleet(config Config, count int, servers ...Server) []*testNode {
+// newTestNodes returns nodes with the same endpoint list and different seeds.
+func newTestNodes(config Config, count int, servers ...Server) []*testNode {
 	config.NodeCount = count
 	nodes := make([]*testNode, count)
 	for i := range nodes {
 		config.NodeIndex = i
-		nodes[i] = &testNode{Balancer: New(config, uint64(i)), now: time.Minute, next: 1}
+		nodes[i] = &testNode{Balancer: New(config, uint64(i)), now: time.Minute, nextID: 1}
 		nodes[i].handle(EndpointUpdate{Kind: ListCached, Servers: servers})
 	}
 	return nodes
 }
 
-func checkedServers(acts []Action) (ids []ServerID) {
-	for _, a := range acts {
-		if p, ok := a.(HealthCheck); ok {
-			ids = append(ids, p.Server)
+func checkedServers(actions []Action) (ids []ServerID) {
+	for _, a := range actions {
+		if check, ok := a.(HealthCheck); ok {
+			ids = append(ids, check.Server)
 		}
 	}
 	return ids
--- a/balance/invariants_test.go
+++ b/balance/invariants_test.go
@@ -9,27 +9,29 @@
 	"pgregory.net/rapid"
 )
 
-// Random lists, requests and outcomes are played, and the rules checked on every action by a witness with
-// records of its own.
+// Feeds random lists, requests and outcomes to a Balancer. An invariantChecker, which keeps separate records,
+// checks every action against the rules.
 func TestInvariantsHoldOnRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := testConfig()
 		config.EndpointsPushed = rapid.Bool().Draw(t, "pushed")
-		config.HealthChecksAllowed = rapid.Bool().Draw(t, "probes")
+		config.HealthChecksAllowed = rapid.Bool().Draw(t, "health checks")
 		classes := []string{"safe", "unsafe", "zone", "cell", "all", "unknown"}
 		servers := map[ServerID]Server{}
 		for _, s := range readyServers(1, 2, 3, 4) {
 			servers[s.ID] = s
 		}
-		a, b := New(config, 5), New(config, 5)
-		play := newWitness(t, config, servers)
-		play.observe(a, b, 0, EndpointUpdate{Kind: ListCached, Servers: readyServers(1, 2, 3, 4)})
+		balancer, duplicate := New(config, 5), New(config, 5)
+		checker := newInvariantChecker(t, config, servers)
+		checker.observe(balancer, duplicate, 0,
+			EndpointUpdate{Kind: ListCached, Servers: readyServers(1, 2, 3, 4)})
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * ms
 			switch rapid.IntRange(0, 9).Draw(t, "kind") {
 			case 0, 1, 2:
-				play.observe(a, b, now, Request{ID: play.nextID(), Timeout: 2 * time.Second,
+				checker.observe(balancer, duplicate, now, Request{
+					ID: checker.nextID(), Timeout: 2 * time.Second,
 					Class:     rapid.SampledFrom(classes).Draw(t, "class"),
 					ClientKey: rapid.SampledFrom([]string{"", "a", "b", "c"}).Draw(t, "key"),
 					Group:     rapid.SampledFrom([]string{"", "g", "h"}).Draw(t, "group")})
@@ -40,189 +42,196 @@
 				if rapid.Bool().Draw(t, "restart") {
 					s.StartedAt = now
 				}
-				play.observe(a, b, now, EndpointUpdate{Kind: ListDelta, Servers: []Server{s}})
+				checker.observe(balancer, duplicate, now,
+					EndpointUpdate{Kind: ListDelta, Servers: []Server{s}})
 			case 4:
-				play.observe(a, b, now, HealthCheckResult{Server: ServerID(rapid.IntRange(1, 7).Draw(t,
-					"probed")),
+				checker.observe(balancer, duplicate, now, HealthCheckResult{
+					Server: ServerID(rapid.IntRange(1, 7).Draw(t, "checked server")),
 					Report: &LoadReport{Utilisation: rapid.Float64Range(0, 1.5).Draw(t, "load")}})
 			default:
-				play.endSomeAttempt(a, b, now)
+				checker.endRandomAttempt(balancer, duplicate, now)
 			}
 		}
-		for play.endSomeAttempt(a, b, now+time.Minute) || len(play.timers) > 0 {
+		for checker.endRandomAttempt(balancer, duplicate, now+time.Minute) || len(checker.timers) > 0 {
 			now += time.Minute
-			play.observe(a, b, now, EndpointUpdate{Kind: ListDelta})
+			checker.observe(balancer, duplicate, now, EndpointUpdate{Kind: ListDelta})
 		}
-		play.checkAllAnswered()
+		checker.checkAllAnswered()
 	})
 }
 
-// witness keeps what is seen from outside: every attempt, outcome and answer.
-type witness struct {
+// invariantChecker records the observable behaviour of a Balancer: every attempt, outcome and answer.
+type invariantChecker struct {
 	t        *rapid.T
 	config   Config
 	servers  map[ServerID]Server
-	requests map[RequestID]*witnessedRequest
+	requests map[RequestID]*observedRequest
 	order    []RequestID
 	timers   []pendingTimer
 }
 
 type pendingTimer struct {
-	at    time.Duration
-	token uint64
+	firesAt time.Duration
+	token   uint64
 }
 
-type witnessedRequest struct {
-	class    Class
-	deadline time.Duration
-	attempts []witnessedAttempt
-	standing bool
-	answers  int
+type observedRequest struct {
+	class        Class
+	deadline     time.Duration
+	attempts     []observedAttempt
+	established  bool
+	finalAnswers int
 }
 
-type witnessedAttempt struct {
-	to       Server
-	at       time.Duration
+type observedAttempt struct {
+	server   Server
+	sentAt   time.Duration
 	inFlight bool
 	outcome  Outcome
 }
 
-func newWitness(t *rapid.T, config Config, servers map[ServerID]Server) *witness {
-	return &witness{t: t, config: config, servers: servers, requests: map[RequestID]*witnessedRequest{}}
+func newInvariantChecker(t *rapid.T, config Config, servers map[ServerID]Server) *invariantChecker {
+	return &invariantChecker{
+		t: t, config: config, servers: servers, requests: map[RequestID]*observedRequest{},
+	}
 }
 
-func (p *witness) nextID() RequestID { return RequestID(len(p.order) + 1) }
+func (c *invariantChecker) nextID() RequestID { return RequestID(len(c.order) + 1) }
 
-// observe plays the timers that are due and then one event to two equal instances, and checks what they do.
-func (p *witness) observe(a, b *Balancer, now time.Duration, ev Event) {
+// observe passes the timers that are due and then one event to two equal instances, and checks their actions.
+func (c *invariantChecker) observe(balancer, duplicate *Balancer, now time.Duration, ev Event) {
 	for {
-		slices.SortStableFunc(p.timers, func(x, y pendingTimer) int { return cmp.Compare(x.at, y.at) })
-		if len(p.timers) == 0 || p.timers[0].at > now {
+		slices.SortStableFunc(c.timers, func(x, y pendingTimer) int {
+			return cmp.Compare(x.firesAt, y.firesAt)
+		})
+		if len(c.timers) == 0 || c.timers[0].firesAt > now {
 			break
 		}
-		due := p.timers[0]
-		p.timers = p.timers[1:]
-		p.handle(a, b, due.at, TimerFired{Token: due.token})
-	}
-	for id, w := range p.requests {
-		out := len(w.attempts) > 0 && w.attempts[len(w.attempts)-1].inFlight
-		if w.answers == 0 && !out && now > w.deadline {
-			p.t.Fatalf("request %d is held past its time with no attempt out", id)
+		timer := c.timers[0]
+		c.timers = c.timers[1:]
+		c.handle(balancer, duplicate, timer.firesAt, TimerFired{Token: timer.token})
+	}
+	for id, request := range c.requests {
+		inFlight := len(request.attempts) > 0 && request.attempts[len(request.attempts)-1].inFlight
+		if request.finalAnswers == 0 && !inFlight && now > request.deadline {
+			c.t.Fatalf("request %d is unanswered after its deadline without an attempt in flight", id)
 		}
 	}
-	p.handle(a, b, now, ev)
+	c.handle(balancer, duplicate, now, ev)
 }
 
-func (p *witness) handle(a, b *Balancer, now time.Duration, ev Event) {
-	p.noteEvent(now, ev)
-	acts := slices.Clone(a.Handle(now, ev))
-	if other := b.Handle(now, ev); !slices.Equal(acts, other) {
-		p.t.Fatalf("the same events gave %v and %v", acts, other)
+func (c *invariantChecker) handle(balancer, duplicate *Balancer, now time.Duration, ev Event) {
+	c.recordEvent(now, ev)
+	actions := slices.Clone(balancer.Handle(now, ev))
+	if repeated := duplicate.Handle(now, ev); !slices.Equal(actions, repeated) {
+		c.t.Fatalf("equal events resulted in %v and %v", actions, repeated)
 	}
-	for _, act := range acts {
-		switch act := act.(type) {
+	for _, action := range actions {
+		switch action := action.(type) {
 		case Attempt:
-			p.checkAttempt(act, now)
+			c.checkAttempt(action, now)
 		case Reject:
-			p.checkReject(act)
+			c.checkReject(action)
 		case Fail:
-			p.requests[act.ID].answers++
+			c.requests[action.ID].finalAnswers++
 		case SetTimer:
-			p.timers = append(p.timers, pendingTimer{now + act.After, act.Token})
+			c.timers = append(c.timers, pendingTimer{now + action.After, action.Token})
 		}
 	}
 }
 
-func (p *witness) noteEvent(now time.Duration, ev Event) {
+func (c *invariantChecker) recordEvent(now time.Duration, ev Event) {
 	switch ev := ev.(type) {
 	case Request:
-		p.requests[ev.ID] = &witnessedRequest{class: p.config.Classes[ev.Class], deadline: now + ev.Timeout}
-		p.order = append(p.order, ev.ID)
+		c.requests[ev.ID] = &observedRequest{class: c.config.Classes[ev.Class], deadline: now + ev.Timeout}
+		c.order = append(c.order, ev.ID)
 	case EndpointUpdate:
 		for _, s := range ev.Servers {
-			p.servers[s.ID] = s
+			c.servers[s.ID] = s
 		}
 	case AttemptEnded:
-		a := &p.requests[ev.ID].attempts[ev.Attempt]
+		a := &c.requests[ev.ID].attempts[ev.Attempt]
 		a.inFlight, a.outcome = false, ev.Outcome
 	}
 }
 
-func (p *witness) checkReject(act Reject) {
-	r := p.requests[act.ID]
-	r.answers++
-	harmless := r.class.Idempotency == Idempotent ||
-		r.class.Idempotency == IdempotentByKey && r.class.KeyScope == KeyScopeAll
-	for _, a := range r.attempts {
-		if !a.outcome.NotExecuted() && !harmless {
-			p.t.Fatalf("rejected %d though it may have run", act.ID)
+func (c *invariantChecker) checkReject(action Reject) {
+	request := c.requests[action.ID]
+	request.finalAnswers++
+	repeatable := request.class.Idempotency == Idempotent ||
+		request.class.Idempotency == IdempotentByKey && request.class.KeyScope == KeyScopeAll
+	for _, a := range request.attempts {
+		if !a.outcome.NotExecuted() && !repeatable {
+			c.t.Fatalf("request %d was rejected although it may have been executed", action.ID)
 		}
 	}
 }
 
-func (p *witness) checkAttempt(act Attempt, now time.Duration) {
-	w, to := p.requests[act.ID], p.servers[act.Server]
-	if w.answers > 0 || w.standing {
-		p.t.Fatalf("request %d was sent after its answer", act.ID)
+func (c *invariantChecker) checkAttempt(action Attempt, now time.Duration) {
+	request, target := c.requests[action.ID], c.servers[action.Server]
+	if request.finalAnswers > 0 || request.established {
+		c.t.Fatalf("request %d was sent after its final answer", action.ID)
 	}
-	if to.State != Ready {
-		p.t.Fatalf("request %d was sent to server %d, which is not ready", act.ID, act.Server)
+	if target.State != Ready {
+		c.t.Fatalf("request %d was sent to server %d, which is not ready", action.ID, action.Server)
 	}
-	if len(w.attempts) >= p.config.MaxAttempts {
-		p.t.Fatalf("request %d has too many attempts", act.ID)
+	if len(request.attempts) >= c.config.MaxAttempts {
+		c.t.Fatalf("request %d has too many attempts", action.ID)
 	}
-	for _, s := range w.attempts {
-		if s.inFlight {
-			p.t.Fatalf("request %d has two attempts out", act.ID)
+	for _, attempt := range request.attempts {
+		if attempt.inFlight {
+			c.t.Fatalf("request %d has two attempts in flight", action.ID)
 		}
-		if !s.permitsRepeat(w.class, to, now) {
-			p.t.Fatalf("request %d was repeated though it may have run", act.ID)
+		if !attempt.permitsRepeat(request.class, target, now) {
+			c.t.Fatalf("request %d was repeated although it may have been executed", action.ID)
 		}
 	}
-	w.attempts = append(w.attempts, witnessedAttempt{to: to, at: now, inFlight: true})
+	request.attempts = append(request.attempts, observedAttempt{server: target, sentAt: now, inFlight: true})
 }
 
-// permitsRepeat tells whether a request of a class may go to another server after the attempt.
-func (a *witnessedAttempt) permitsRepeat(class Class, to Server, now time.Duration) bool {
+// permitsRepeat reports whether a request of the class may be sent to the target after the attempt.
+func (a *observedAttempt) permitsRepeat(class Class, target Server, now time.Duration) bool {
 	if a.outcome.NotExecuted() || class.Idempotency == Idempotent {
 		return true
 	}
-	inScope := class.KeyScope == KeyScopeAll || class.KeyScope == KeyScopeZone && a.to.Zone == to.Zone ||
-		class.KeyScope == KeyScopeCell && a.to.Cell == to.Cell
-	return class.Idempotency != NonIdempotent && inScope && now-a.at < class.KeyWindow
+	inScope := class.KeyScope == KeyScopeAll ||
+		class.KeyScope == KeyScopeZone && a.server.Zone == target.Zone ||
+		class.KeyScope == KeyScopeCell && a.server.Cell == target.Cell
+	return class.Idempotency != NonIdempotent && inScope && now-a.sentAt < class.KeyWindow
 }
 
-// endSomeAttempt ends some attempt that is out; it tells whether there was one.
-func (p *witness) endSomeAttempt(a, b *Balancer, now time.Duration) bool {
-	var out []RequestID
-	for _, id := range p.order {
-		if n := len(p.requests[id].attempts); n > 0 && p.requests[id].attempts[n-1].inFlight {
-			out = append(out, id)
+// endRandomAttempt accepts or ends a random attempt in flight, and reports whether there was one.
+func (c *invariantChecker) endRandomAttempt(balancer, duplicate *Balancer, now time.Duration) bool {
+	var inFlight []RequestID
+	for _, id := range c.order {
+		if n := len(c.requests[id].attempts); n > 0 && c.requests[id].attempts[n-1].inFlight {
+			inFlight = append(inFlight, id)
 		}
 	}
-	if len(out) == 0 {
+	if len(inFlight) == 0 {
 		return false
 	}
-	id := rapid.SampledFrom(out).Draw(p.t, "request")
-	w := p.requests[id]
-	n := len(w.attempts) - 1
-	s := &w.attempts[n]
-	if !w.standing && rapid.Bool().Draw(p.t, "accept") {
-		w.standing, w.answers = true, w.answers+1
-		p.observe(a, b, now, AttemptAccepted{ID: id, Attempt: n, Server: s.to.ID})
+	id := rapid.SampledFrom(inFlight).Draw(c.t, "request")
+	request := c.requests[id]
+	number := len(request.attempts) - 1
+	attempt := &request.attempts[number]
+	if !request.established && rapid.Bool().Draw(c.t, "accept") {
+		request.established, request.finalAnswers = true, request.finalAnswers+1
+		c.observe(balancer, duplicate, now,
+			AttemptAccepted{ID: id, Attempt: number, Server: attempt.server.ID})
 		return true
 	}
 	outcome := rapid.SampledFrom([]Outcome{ServerError, AtCapacity, TimedOut, ConnectFailed, Reset,
-		Cancelled}).Draw(p.t, "outcome")
-	p.observe(a, b, now, AttemptEnded{ID: id, Attempt: n, Server: s.to.ID, Outcome: outcome,
-		Final: w.standing})
+		Cancelled}).Draw(c.t, "outcome")
+	c.observe(balancer, duplicate, now, AttemptEnded{ID: id, Attempt: number, Server: attempt.server.ID,
+		Outcome: outcome, Final: request.established})
 	return true
 }
 
-func (p *witness) checkAllAnswered() {
-	for _, id := range p.order {
-		if n := p.requests[id].answers; n != 1 {
-			p.t.Fatalf("request %d got %d final answers", id, n)
+func (c *invariantChecker) checkAllAnswered() {
+	for _, id := range c.order {
+		if n := c.requests[id].finalAnswers; n != 1 {
+			c.t.Fatalf("request %d got %d final answers", id, n)
 		}
 	}
 }
--- a/balance/limits_test.go
+++ b/balance/limits_test.go
@@ -14,8 +14,8 @@
 	maxColumns   = 110
 )
 
-// Every file of the package, tests included, stays short enough to be read at one sitting.
-func TestFilesKeepTheirLimits(t *testing.T) {
+// Files of the package, including tests, must stay short and narrow enough to read.
+func TestSourceFileLimits(t *testing.T) {
 	files, err := filepath.Glob("*.go")
 	if err != nil {
 		t.Fatal(err)
@@ -25,24 +25,24 @@
 	}
 	for _, name := range files {
 		if lines := countLines(t, name); lines > maxFileLines {
-			t.Errorf("%s: %d lines, over %d", name, lines, maxFileLines)
+			t.Errorf("%s: %d lines, limit is %d", name, lines, maxFileLines)
 		}
 	}
 }
 
-// countLines counts the lines of a file, and checks the width of each.
+// countLines returns the number of lines of a file and checks the width of each line.
 func countLines(t *testing.T, name string) (lines int) {
 	t.Helper()
-	f, err := os.Open(name)
+	file, err := os.Open(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
-	for in := bufio.NewScanner(f); in.Scan(); {
+	defer file.Close()
+	for scanner := bufio.NewScanner(file); scanner.Scan(); {
 		lines++
-		width := utf8.RuneCountInString(strings.ReplaceAll(in.Text(), "\t", "    "))
+		width := utf8.RuneCountInString(strings.ReplaceAll(scanner.Text(), "\t", "    "))
 		if width > maxColumns {
-			t.Errorf("%s:%d has %d characters, over %d", name, lines, width, maxColumns)
+			t.Errorf("%s:%d: %d columns, limit is %d", name, lines, width, maxColumns)
 		}
 	}
 	return lines
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -9,8 +9,8 @@
 func TestEmptyListRejectsAtOnce(t *testing.T) {
 	n := newTestNode(testConfig())
 	for _, class := range []string{"safe", "unsafe", "unknown"} {
-		if _, acts := n.request(class, "client"); answer(acts) != "reject" {
-			t.Errorf("%s: %v", class, acts)
+		if _, actions := n.request(class, "client"); finalAnswer(actions) != "reject" {
+			t.Errorf("class %s, want a rejection: %v", class, actions)
 		}
 	}
 }
@@ -19,23 +19,23 @@
 	n := newTestNode(testConfig(), readyServers(1, 2, 3)...)
 	id, s := n.place("safe", "client")
 	n.now += 2 * time.Second
-	acts := n.handle(AttemptEnded{ID: id, Server: s, Outcome: TimedOut})
-	if answer(acts) != "reject" || sentTo(acts) != 0 {
-		t.Errorf("at the deadline: %v", acts)
+	actions := n.handle(AttemptEnded{ID: id, Server: s, Outcome: TimedOut})
+	if finalAnswer(actions) != "reject" || sentTo(actions) != 0 {
+		t.Errorf("timeout at the deadline, want only a rejection: %v", actions)
 	}
 }
 
 func TestAttemptTimeoutLeavesTimeForRetry(t *testing.T) {
 	n := newTestNode(testConfig(), readyServers(1, 2, 3)...)
-	id, acts := n.request("safe", "client")
-	timeout := acts[0].(Attempt).Timeout
+	id, actions := n.request("safe", "client")
+	timeout := actions[0].(Attempt).Timeout
 	if timeout <= 0 || timeout > time.Second {
-		t.Fatalf("the first attempt may take %v of 2 s", timeout)
+		t.Fatalf("timeout of the first attempt is %v of 2 s", timeout)
 	}
-	first := sentTo(acts)
+	first := sentTo(actions)
 	n.now += timeout
 	if s := sentTo(n.handle(AttemptEnded{ID: id, Server: first, Outcome: TimedOut})); s == 0 || s == first {
-		t.Errorf("after %d was silent it went to %d", first, s)
+		t.Errorf("after a timeout of server %d: sent to server %d", first, s)
 	}
 }
 
@@ -43,28 +43,29 @@
 	n := newTestNode(testConfig(), readyServers(1, 2)...)
 	id, s := n.place("safe", "client")
 	n.handle(ClientDisconnected{ID: id})
-	if acts := n.handle(AttemptEnded{ID: id, Server: s, Outcome: AtCapacity}); len(acts) != 0 {
-		t.Errorf("after the client left: %v", acts)
+	if actions := n.handle(AttemptEnded{ID: id, Server: s, Outcome: AtCapacity}); len(actions) != 0 {
+		t.Errorf("client disconnected, want no actions: %v", actions)
 	}
 }
 
-func TestMaxAttempts(t *testing.T) {
+func TestRetriesStopAtMaxAttempts(t *testing.T) {
 	n := newTestNode(testConfig(), readyServers(1, 2, 3, 4, 5)...)
 	id, s := n.place("safe", "client")
 	for attempt := range 3 {
-		acts := n.handle(AttemptEnded{ID: id, Attempt: attempt, Server: s, Outcome: AtCapacity})
-		if s = sentTo(acts); (s == 0) != (attempt == 2) || (answer(acts) == "reject") != (attempt == 2) {
-			t.Errorf("after attempt %d of 3: %v", attempt+1, acts)
+		actions := n.handle(AttemptEnded{ID: id, Attempt: attempt, Server: s, Outcome: AtCapacity})
+		if s = sentTo(actions); (s == 0) != (attempt == 2) ||
+			(finalAnswer(actions) == "reject") != (attempt == 2) {
+			t.Errorf("after attempt %d of 3: %v", attempt+1, actions)
 		}
 	}
 }
 
-// Rule 2: nothing is executed twice that must not be.
+// Rule 2: no request is executed more often than its class permits.
 func TestRetriesObeyIdempotency(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		class   string
 		outcome Outcome
-		after   time.Duration
+		delay   time.Duration
 		servers []Server
 		want    string // "again", "reject" or "fail"
 	}{
@@ -82,28 +83,30 @@
 		{"all", ServerError, time.Second, readyServers(1, 2), "reject"},
 		{"safe", ServerError, 0, readyServers(1, 2), "again"},
 	} {
-		n := newTestNode(testConfig(), c.servers...)
-		id, s := n.place(c.class, "client")
-		n.now += c.after
-		acts := n.handle(AttemptEnded{ID: id, Server: s, Outcome: c.outcome})
-		got := answer(acts)
-		if sentTo(acts) != 0 {
+		n := newTestNode(testConfig(), test.servers...)
+		id, s := n.place(test.class, "client")
+		n.now += test.delay
+		actions := n.handle(AttemptEnded{ID: id, Server: s, Outcome: test.outcome})
+		got := finalAnswer(actions)
+		if sentTo(actions) != 0 {
 			got = "again"
 		}
-		if got != c.want {
-			t.Errorf("%s after %v, %v later: %s, want %s", c.class, c.outcome, c.after, got, c.want)
+		if got != test.want {
+			t.Errorf("class %s, outcome %v after %v: %s, want %s", test.class, test.outcome, test.delay, got,
+				test.want)
 		}
 	}
 }
 
-// Rule 3: draining and removed servers get nothing.
-func TestServerDrainsDuringRetry(t *testing.T) {
+// Rule 3: draining and removed servers get no attempts.
+func TestRetryAvoidsDrainingServer(t *testing.T) {
 	n := newTestNode(testConfig(), readyServers(1, 2)...)
 	id, s := n.place("safe", "client")
-	left := Server{ID: 3 - s, State: Draining}
-	n.handle(EndpointUpdate{Kind: ListDelta, Servers: []Server{left}})
-	if acts := n.handle(AttemptEnded{ID: id, Server: s, Outcome: AtCapacity}); answer(acts) != "reject" {
-		t.Errorf("with only a draining server left: %v", acts)
+	other := Server{ID: 3 - s, State: Draining}
+	n.handle(EndpointUpdate{Kind: ListDelta, Servers: []Server{other}})
+	if actions := n.handle(AttemptEnded{ID: id, Server: s,
+		Outcome: AtCapacity}); finalAnswer(actions) != "reject" {
+		t.Errorf("only a draining server is left, want a rejection: %v", actions)
 	}
 }
 
@@ -120,17 +123,17 @@
 	} {
 		for _, a := range n.handle(ev) {
 			if _, ok := a.(WatchEndpoints); !ok {
-				t.Errorf("%#v led to %#v", ev, a)
+				t.Errorf("event %#v caused action %#v", ev, a)
 			}
 		}
 	}
 	if len(n.ready[0].requests) != 0 {
-		t.Errorf("%d connections counted, none stands", len(n.ready[0].requests))
+		t.Errorf("%d connections counted, want 0", len(n.ready[0].requests))
 	}
 }
 
-// An attempt that was cancelled before its first byte is no server's fault, and leaves the request all its
-// attempts.
+// An attempt that was cancelled before its first byte must not eject a server and does not count towards
+// MaxAttempts.
 func TestNotSentAttemptDoesNotCount(t *testing.T) {
 	for _, class := range []string{"safe", "unsafe", "cell"} {
 		config := testConfig()
@@ -139,56 +142,56 @@
 		id, first := n.place(class, "k")
 		second := sentTo(n.handle(AttemptEnded{ID: id, Server: first, Outcome: NotSent}))
 		if second == 0 || second == first {
-			t.Errorf("%s: sent to %d after %d", class, second, first)
+			t.Errorf("class %s: sent to server %d after %d", class, second, first)
 		}
-		acts := n.handle(AttemptEnded{ID: id, Attempt: 1, Server: second, Outcome: NotSent})
-		if answer(acts) != "reject" { // nothing has run
-			t.Errorf("%s: got %v", class, acts)
+		actions := n.handle(AttemptEnded{ID: id, Attempt: 1, Server: second, Outcome: NotSent})
+		if finalAnswer(actions) != "reject" { // the request was not executed
+			t.Errorf("class %s, want a rejection: %v", class, actions)
 		}
 		if n.servers[first].ejectedUntil > 0 || n.servers[second].ejectedUntil > 0 {
-			t.Errorf("%s: a server is ejected", class)
+			t.Errorf("class %s: a server was ejected", class)
 		}
 	}
 }
 
-// The retry of a request with an idempotency key has to be sent within the window that its first attempt
-// began.
+// The retry of a request with an idempotency key has to be sent within KeyWindow of its first attempt.
 func TestKeyedRetryIsSentWithinKeyWindow(t *testing.T) {
 	for class, want := range map[string]time.Duration{"safe": 0, "all": 700 * ms} {
 		n := newTestNode(testConfig(), readyServers(1, 2)...)
-		id, acts := n.request(class, "k")
-		if first := acts[len(acts)-1].(Attempt); first.SendWithin != 0 {
-			t.Errorf("%s: the first is bound to %v", class, first.SendWithin)
+		id, actions := n.request(class, "k")
+		if first := actions[len(actions)-1].(Attempt); first.SendWithin != 0 {
+			t.Errorf("class %s: SendWithin of the first attempt is %v, want 0", class, first.SendWithin)
 		}
 		n.now += 300 * ms
-		acts = n.handle(AttemptEnded{ID: id, Server: sentTo(acts), Outcome: Reset})
-		if retry := acts[len(acts)-1].(Attempt); retry.SendWithin != want {
-			t.Errorf("%s: it has %v", class, retry.SendWithin)
+		actions = n.handle(AttemptEnded{ID: id, Server: sentTo(actions), Outcome: Reset})
+		if retry := actions[len(actions)-1].(Attempt); retry.SendWithin != want {
+			t.Errorf("class %s: SendWithin of the retry is %v", class, retry.SendWithin)
 		}
 	}
 }
 
-// A node whose clock shortens timeouts must attempt, and must answer as soon as the time proves to be over.
-func TestTimeoutUncertainty(t *testing.T) {
+// A node whose clock may shorten timeouts must still make an attempt. It must answer as soon as the timeout
+// has certainly expired.
+func TestTimeoutUncertaintyExtendsDeadline(t *testing.T) {
 	class := Class{Idempotency: Idempotent, ConnectObjective: 300 * ms, MaxTimeout: 1800 * ms}
-	for _, c := range []struct{ margin, timeout, want time.Duration }{
+	for _, test := range []struct{ uncertainty, timeout, want time.Duration }{
 		{0, 20 * ms, 20 * ms}, {4800 * ms, 20 * ms, 1800 * ms}, {100 * ms, 20 * ms, 120 * ms},
 		{4800 * ms, 1800 * ms, 1800 * ms},
 		{4800 * ms, 2500 * ms, 2500 * ms},
 	} {
 		config := testConfig()
-		config.TimeoutUncertainty, config.Classes["timed"] = c.margin, class
+		config.TimeoutUncertainty, config.Classes["timed"] = test.uncertainty, class
 		n := newTestNode(config, readyServers(1, 2, 3)...)
-		acts := n.handle(Request{ID: 9, Class: "timed", ClientKey: "client", Timeout: c.timeout})
-		if got := n.requests[9].deadline - n.now; got != c.want {
-			t.Errorf("%+v: taken for %v", c, got)
+		actions := n.handle(Request{ID: 9, Class: "timed", ClientKey: "client", Timeout: test.timeout})
+		if got := n.requests[9].deadline - n.now; got != test.want {
+			t.Errorf("%+v: timeout is %v", test, got)
 		}
-		if sentTo(acts) == 0 {
-			t.Errorf("%+v: not tried", c)
+		if sentTo(actions) == 0 {
+			t.Errorf("%+v: no attempt", test)
 		}
-		if acts = n.handle(AttemptEnded{ID: 9, Server: sentTo(acts),
-			Outcome: Abandoned}); answer(acts) != "reject" || sentTo(acts) != 0 {
-			t.Errorf("%+v: its time was over, and got %v", c, acts)
+		if actions = n.handle(AttemptEnded{ID: 9, Server: sentTo(actions),
+			Outcome: Abandoned}); finalAnswer(actions) != "reject" || sentTo(actions) != 0 {
+			t.Errorf("%+v: timeout expired, want only a rejection: %v", test, actions)
 		}
 	}
 }
--- a/balance/size_test.go
+++ b/balance/size_test.go
@@ -5,15 +5,15 @@
 	"testing"
 )
 
-// sizeFactor is by how much what an event costs may grow from 200 servers to 3,200: STANDING.md's bound on
-// processor time.
-const sizeFactor = 1.4
+// maxCostGrowth is the factor by which the cost of an event may grow from 200 servers to 3,200. It is the
+// bound on processor time in STANDING.md.
+const maxCostGrowth = 1.4
 
-// What a placement, a report and a changed entry cost hardly grows with the number of servers. It is counted
-// in servers visited, not in time, so that the verdict is the same on a busy machine.
-func TestWhatAnEventCostsHardlyGrowsWithTheServers(t *testing.T) {
+// The cost of a placement, a load report and a changed entry must hardly grow with the number of servers.
+// Servers visited are counted in place of time, so that the result is the same on a busy machine.
+func TestEventCostIsIndependentOfServerCount(t *testing.T) {
 	const events = 200
-	for name, do := range map[string]func(n *testNode, servers []Server, i int){
+	for name, handleEvent := range map[string]func(n *testNode, servers []Server, i int){
 		"a placement": func(n *testNode, _ []Server, i int) { n.place("safe", fmt.Sprint("new-", i)) },
 		"a report": func(n *testNode, servers []Server, i int) {
 			n.handle(HealthCheckResult{Server: servers[i%len(servers)].ID, Outcome: OK,
@@ -26,7 +26,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			cost := func(servers int) float64 {
+			visitsPerEvent := func(servers int) float64 {
 				var ids []ServerID
 				for i := range servers {
 					ids = append(ids, ServerID(i+1))
@@ -34,17 +34,18 @@
 				config := testConfig()
 				config.NodeCount, config.HealthChecksAllowed, config.ConnectionCapacity = 300, true,
 					20*float64(servers)
-				list := readyServers(ids...)
-				n := newTestNode(config, list...)
+				endpoints := readyServers(ids...)
+				n := newTestNode(config, endpoints...)
 				before := n.serversVisited
 				for i := range events {
-					do(n, list, i)
+					handleEvent(n, endpoints, i)
 				}
 				return float64(n.serversVisited-before) / events
 			}
-			few, many := cost(200), cost(3200)
-			if many > sizeFactor*few+1 {
-				t.Errorf("%.1f servers are looked at among 200, %.1f among 3,200", few, many)
+			with200, with3200 := visitsPerEvent(200), visitsPerEvent(3200)
+			if with3200 > maxCostGrowth*with200+1 {
+				t.Errorf("%.1f servers visited per event with 200 servers, %.1f with 3,200", with200,
+					with3200)
 			}
 		})
 	}
--- a/balance/stream_test.go
+++ b/balance/stream_test.go
@@ -14,55 +14,56 @@
 	"time"
 )
 
-// Recorded event streams: seeded drivers feed every kind of event under every setting, and the digest of all
-// that the instances do is kept in testdata/streams.txt. The text that is digested is made of values only.
+// Recorded event streams: drivers with fixed seeds feed every kind of event to nodes under every kind of
+// configuration. testdata/streams.txt has a digest of all resulting actions for each stream. The digested
+// text contains values and fixed words, but no identifiers, so that renaming does not change it.
 
 const (
 	streamSeeds = 4
 	streamSteps = 2500
 )
 
-// streamSettings gives the deployments that the streams run under.
+// streamConfigs returns the configurations of the streams by name.
 func streamConfigs() map[string]Config {
 	plain := testConfig()
 	plain.Classes["timed"] = Class{Idempotency: Idempotent, MessageObjective: 80 * ms,
 		ConnectObjective: 400 * ms, MaxTimeout: 3 * time.Second}
-	change := func(with func(config *Config)) Config {
+	modified := func(modify func(config *Config)) Config {
 		config := plain
-		with(&config)
+		modify(&config)
 		return config
 	}
 	return map[string]Config{
 		"plain": plain,
-		"checks": change(func(config *Config) {
+		"checks": modified(func(config *Config) {
 			config.HealthChecksAllowed, config.EndpointsPushed, config.NodeCount,
 				config.ConnectionCapacity = true, false,
 				3, 300
 		}),
-		"late messages": change(func(config *Config) {
+		"late messages": modified(func(config *Config) {
 			config.HealthChecksAllowed, config.LateMessagesReported, config.NodeCount,
 				config.MaxRetryAfter = true, true,
 				2, 0
 			config.TimeoutUncertainty = 300 * ms
 		}),
-		"gossip": change(func(config *Config) {
+		"gossip": modified(func(config *Config) {
 			config.GossipEnabled, config.CoresPerWeight, config.NodeCount, config.Zone,
 				config.CrossZoneCost = true, 1, 3,
 				"z1", 0.2
 			config.ConnectionCapacity = 500
 		}),
-		"slow start": change(func(config *Config) {
+		"slow start": modified(func(config *Config) {
 			config.ConnectionCapacity, config.ClockUntrusted, config.StartTimeUncertainty,
 				config.KeepUnlistedServers = 900, true, 500*ms, true
 			config.NodeCount, config.HealthChecksAllowed = 2, true
 		}),
-		"quotas": change(func(config *Config) {
+		"quotas": modified(func(config *Config) {
 			config.ConnectionCapacity, config.HealthChecksAllowed, config.NodeCount,
 				config.KeepUnlistedServers = 900,
 				true, 2, true
-			config.SlowStartQuotas = &streamQuotas{left: map[ServerID]int{}}
+			config.SlowStartQuotas = &scriptedQuotas{remaining: map[ServerID]int{}}
 		}),
-		"many servers": change(func(config *Config) {
+		"many servers": modified(func(config *Config) {
 			config.NodeCount, config.HealthChecksAllowed, config.EndpointsPushed, config.MaxOpenRequests,
 				config.MaxAttempts = 300, true, false, 40, 0
 			config.LateMessagesReported = true
@@ -70,168 +71,168 @@
 	}
 }
 
-// streamParts grants by turns, and is the same for every run.
-type streamQuotas struct {
-	left      map[ServerID]int
+// scriptedQuotas grants and refuses attempts in a fixed pattern, which is the same in every run.
+type scriptedQuotas struct {
+	remaining map[ServerID]int
 	requested int
 }
 
-func (p *streamQuotas) Remaining(id ServerID) int {
-	if p.left[id] > 0 {
-		return p.left[id]
+func (q *scriptedQuotas) Remaining(id ServerID) int {
+	if q.remaining[id] > 0 {
+		return q.remaining[id]
 	}
-	return -(p.requested % 2)
+	return -(q.requested % 2)
 }
 
-func (p *streamQuotas) RequestMore(id ServerID) bool {
-	if p.requested++; p.requested%3 != 0 {
-		p.left[id] += 2
+func (q *scriptedQuotas) RequestMore(id ServerID) bool {
+	if q.requested++; q.requested%3 != 0 {
+		q.remaining[id] += 2
 	}
-	return p.requested%4 != 0
+	return q.requested%4 != 0
 }
 
-func (p *streamQuotas) Take(id ServerID) bool {
-	p.left[id]--
-	return p.left[id] >= 0
+func (q *scriptedQuotas) Take(id ServerID) bool {
+	q.remaining[id]--
+	return q.remaining[id] >= 0
 }
 
-// stream drives some instances of one deployment.
+// stream feeds events to up to three nodes of one deployment.
 type stream struct {
-	nodes   []*Balancer
-	config  Config
-	rng     *rand.Rand
-	now     time.Duration
-	queue   []streamEvent
-	open    []Attempt // with the node in open's place
-	at      []int
-	lastID  RequestID
-	servers int
-	out     io.Writer
-	kinds   map[string]int
+	nodes        []*Balancer
+	config       Config
+	rng          *rand.Rand
+	now          time.Duration
+	pending      []scheduledEvent
+	openAttempts []Attempt // attempts that have not ended
+	openNodes    []int     // the node of each open attempt
+	lastID       RequestID
+	serverCount  int
+	output       io.Writer
+	actionCounts map[string]int
 }
 
-type streamEvent struct {
-	at   time.Duration
-	node int
-	ev   Event
+type scheduledEvent struct {
+	at    time.Duration
+	node  int
+	event Event
 }
 
-func newStream(config Config, servers int, seed uint64, out io.Writer) *stream {
-	s := &stream{config: config, rng: rand.New(rand.NewPCG(seed, 52)), now: time.Hour, servers: servers,
-		out:   out,
-		kinds: map[string]int{}}
-	fmt.Fprintln(out, config.WarmServerAttemptLimit(servers))
+func newStream(config Config, serverCount int, seed uint64, output io.Writer) *stream {
+	s := &stream{config: config, rng: rand.New(rand.NewPCG(seed, 52)), now: time.Hour,
+		serverCount: serverCount, output: output, actionCounts: map[string]int{}}
+	fmt.Fprintln(output, config.WarmServerAttemptLimit(serverCount))
 	for i := range min(config.NodeCount, 3) {
 		config.NodeIndex = i
 		s.nodes = append(s.nodes, New(config, seed*10+uint64(i)))
-		s.handle(i, EndpointUpdate{Kind: ListCached, Servers: s.list(servers)})
+		s.handle(i, EndpointUpdate{Kind: ListCached, Servers: s.endpointList(serverCount)})
 	}
 	return s
 }
 
-func (s *stream) list(n int) (list []Server) {
-	for i := range n {
-		list = append(list, s.server(ServerID(i+1)))
+func (s *stream) endpointList(count int) (endpoints []Server) {
+	for i := range count {
+		endpoints = append(endpoints, s.endpoint(ServerID(i+1)))
 	}
-	return list
+	return endpoints
 }
 
-func (s *stream) server(id ServerID) Server {
-	e := Server{ID: id, State: Ready, Zone: fmt.Sprint("z", id%2), Cell: int(id % 3), Weight: float64(id % 4)}
+func (s *stream) endpoint(id ServerID) Server {
+	endpoint := Server{ID: id, State: Ready, Zone: fmt.Sprint("z", id%2), Cell: int(id % 3),
+		Weight: float64(id % 4)}
 	switch s.rng.IntN(12) {
 	case 0:
-		e.State = Draining
+		endpoint.State = Draining
 	case 1:
-		e.State = Removed
+		endpoint.State = Removed
 	case 2, 3:
-		e.StartedAt = s.now - time.Duration(s.rng.IntN(9000))*ms
+		endpoint.StartedAt = s.now - time.Duration(s.rng.IntN(9000))*ms
 	}
-	return e
+	return endpoint
 }
 
 func (s *stream) handle(node int, ev Event) {
 	for _, a := range s.nodes[node].Handle(s.now, ev) {
-		fmt.Fprintf(s.out, "%d %d %s\n", node, s.now, s.record(node, a))
+		fmt.Fprintf(s.output, "%d %d %s\n", node, s.now, s.describe(node, a))
 	}
 }
 
-// record gives an action in words of its own and queues what follows from it.
-func (s *stream) record(node int, a Action) string {
-	later := func(d time.Duration, node int, ev Event) {
-		s.queue = append(s.queue, streamEvent{s.now + d, node, ev})
+// describe returns the digested text of an action, counts the action and schedules the events that follow
+// from it.
+func (s *stream) describe(node int, a Action) string {
+	schedule := func(delay time.Duration, node int, ev Event) {
+		s.pending = append(s.pending, scheduledEvent{s.now + delay, node, ev})
 	}
-	soon := func() time.Duration { return time.Duration(1+s.rng.IntN(60)) * ms }
+	shortDelay := func() time.Duration { return time.Duration(1+s.rng.IntN(60)) * ms }
 	switch a := a.(type) {
 	case Attempt:
-		s.kinds["attempt"]++
-		s.open, s.at = append(s.open, a), append(s.at, node)
+		s.actionCounts["attempt"]++
+		s.openAttempts, s.openNodes = append(s.openAttempts, a), append(s.openNodes, node)
 		return fmt.Sprint("attempt ", uint64(a.ID), " ", uint64(a.Server), " ", int64(a.Timeout), " ",
 			int64(a.SendWithin))
 	case Reject:
-		s.kinds["reject"]++
+		s.actionCounts["reject"]++
 		return fmt.Sprint("reject ", uint64(a.ID), " ", int64(a.RetryAfter), " ", a.Reason)
 	case Fail:
-		s.kinds["fail"]++
+		s.actionCounts["fail"]++
 		return fmt.Sprint("fail ", uint64(a.ID))
 	case Migrate:
-		s.kinds["migrate"]++
+		s.actionCounts["migrate"]++
 		return fmt.Sprint("migrate ", uint64(a.ID))
 	case HealthCheck:
-		s.kinds["check"]++
-		later(soon(), node, s.checked(a.Server))
+		s.actionCounts["check"]++
+		schedule(shortDelay(), node, s.healthCheckResult(a.Server))
 		return fmt.Sprint("check ", uint64(a.Server))
 	case SendGossip:
-		s.kinds["gossip"]++
+		s.actionCounts["gossip"]++
 		if s.rng.IntN(8) > 0 && a.ToNode < len(s.nodes) {
-			later(soon(), a.ToNode, GossipReceived{FromNode: node, Message: a.Message})
+			schedule(shortDelay(), a.ToNode, GossipReceived{FromNode: node, Message: a.Message})
 		}
 		return fmt.Sprint("gossip ", a.ToNode, " ", int(a.Message.Kind), " ", a.Message.Incarnation, " ",
-			uint64(a.Message.Server), " ",
-			a.Message.Load, " ", a.Message.Groups)
+			uint64(a.Message.Server), " ", a.Message.Load, " ", a.Message.Groups)
 	case SetTimer:
-		later(a.After, node, TimerFired{Token: a.Token})
+		schedule(a.After, node, TimerFired{Token: a.Token})
 		return fmt.Sprint("timer ", int64(a.After), " ", a.Token)
 	case WatchEndpoints:
-		s.kinds["watch"]++
+		s.actionCounts["watch"]++
 		return "watch"
 	}
 	return fmt.Sprint("unknown ", a)
 }
 
-func (s *stream) checked(id ServerID) HealthCheckResult {
-	p := HealthCheckResult{Server: id, Outcome: OK, Elapsed: 3 * ms,
+func (s *stream) healthCheckResult(id ServerID) HealthCheckResult {
+	result := HealthCheckResult{Server: id, Outcome: OK, Elapsed: 3 * ms,
 		Report: &LoadReport{Utilisation: s.rng.Float64()*1.5 - 0.1}}
 	if s.rng.IntN(6) == 0 {
-		p.Outcome, p.Report = Outcome(s.rng.IntN(9)), nil
+		result.Outcome, result.Report = Outcome(s.rng.IntN(9)), nil
 	}
-	return p
+	return result
 }
 
-// step plays what is due and then one event.
+// step handles the scheduled events that are due, and then one random event.
 func (s *stream) step() {
 	s.now += time.Duration(s.rng.IntN(120)) * ms
 	for {
-		due := -1
-		for i, e := range s.queue {
-			if e.at <= s.now && (due < 0 || e.at < s.queue[due].at) {
-				due = i
+		earliest := -1
+		for i, e := range s.pending {
+			if e.at <= s.now && (earliest < 0 || e.at < s.pending[earliest].at) {
+				earliest = i
 			}
 		}
-		if due < 0 {
+		if earliest < 0 {
 			break
 		}
-		e := s.queue[due]
-		s.queue = slices.Delete(s.queue, due, due+1)
-		s.handle(e.node, e.ev)
+		e := s.pending[earliest]
+		s.pending = slices.Delete(s.pending, earliest, earliest+1)
+		s.handle(e.node, e.event)
 	}
 	node := s.rng.IntN(len(s.nodes))
 	switch draw := s.rng.IntN(100); {
 	case draw < 40:
 		s.handle(node, s.request())
 	case draw < 75:
-		s.outcome()
+		s.advanceAttempt()
 	default:
-		s.rare(node, draw)
+		s.handleRareEvent(node, draw)
 	}
 }
 
@@ -244,16 +245,17 @@
 		Timeout:   time.Duration(1+s.rng.IntN(4000)) * ms}
 }
 
-// outcome accepts or ends one of the attempts.
-func (s *stream) outcome() {
-	if len(s.open) == 0 {
+// advanceAttempt accepts or ends a random open attempt, or disconnects its client.
+func (s *stream) advanceAttempt() {
+	if len(s.openAttempts) == 0 {
 		return
 	}
-	i := s.rng.IntN(len(s.open))
-	a, node := s.open[i], s.at[i]
+	i := s.rng.IntN(len(s.openAttempts))
+	a, node := s.openAttempts[i], s.openNodes[i]
 	r := s.nodes[node].requests[a.ID]
 	if r == nil {
-		s.open, s.at = slices.Delete(s.open, i, i+1), slices.Delete(s.at, i, i+1)
+		s.openAttempts, s.openNodes = slices.Delete(s.openAttempts, i, i+1),
+			slices.Delete(s.openNodes, i, i+1)
 		return
 	}
 	number := len(r.attempts) - 1
@@ -264,42 +266,45 @@
 	case 3:
 		s.handle(node, ClientDisconnected{ID: a.ID})
 	default:
-		s.open, s.at = slices.Delete(s.open, i, i+1), slices.Delete(s.at, i, i+1)
+		s.openAttempts, s.openNodes = slices.Delete(s.openAttempts, i, i+1),
+			slices.Delete(s.openNodes, i, i+1)
 		s.handle(node, AttemptEnded{ID: a.ID, Attempt: number, Server: a.Server,
-			Outcome: Outcome(s.rng.IntN(9)),
-			Elapsed: 20 * ms,
-			Final:   r.established || s.rng.IntN(9) == 0, GoAway: s.rng.IntN(12) == 0})
+			Outcome: Outcome(s.rng.IntN(9)), Elapsed: 20 * ms,
+			Final: r.established || s.rng.IntN(9) == 0, GoAway: s.rng.IntN(12) == 0})
 	}
 }
 
-// rare plays events that come seldom.
-func (s *stream) rare(node, draw int) {
-	id := ServerID(1 + s.rng.IntN(s.servers+1))
+// handleRareEvent feeds one of the less frequent events to a node. draw, from 75 to 99, selects the kind of
+// event.
+func (s *stream) handleRareEvent(node, draw int) {
+	id := ServerID(1 + s.rng.IntN(s.serverCount+1))
 	switch {
 	case draw < 79:
-		message := time.Duration(s.rng.IntN(400)) * ms
+		latency := time.Duration(s.rng.IntN(400)) * ms
 		s.handle(node, LateMessage{ID: RequestID(1 + s.rng.IntN(int(s.lastID)+1)), Server: id,
-			Latency: message})
+			Latency: latency})
 	case draw < 80:
 		for range 5 {
 			s.handle(node, HealthCheckResult{Server: id, Outcome: ConnectFailed})
 		}
 	case draw < 84:
-		s.handle(node, s.checked(id))
+		s.handle(node, s.healthCheckResult(id))
 	case draw < 89:
-		s.handle(node, EndpointUpdate{Kind: ListDelta, Servers: []Server{s.server(id), s.server(id/2 + 1)}})
+		s.handle(node, EndpointUpdate{Kind: ListDelta,
+			Servers: []Server{s.endpoint(id), s.endpoint(id/2 + 1)}})
 	case draw < 91:
 		kind := []UpdateKind{ListSnapshot, ListCached}[s.rng.IntN(2)]
-		s.handle(node, EndpointUpdate{Kind: kind, Servers: s.list(s.servers - s.rng.IntN(3))})
+		s.handle(node, EndpointUpdate{Kind: kind, Servers: s.endpointList(s.serverCount - s.rng.IntN(3))})
 	case draw < 94:
-		took := []time.Duration{0, 40 * ms, 2 * time.Second}[s.rng.IntN(3)]
+		serviceWait := []time.Duration{0, 40 * ms, 2 * time.Second}[s.rng.IntN(3)]
 		s.handle(node, EndpointUpdate{Kind: []UpdateKind{WatchFailed, WatchBroken}[s.rng.IntN(2)],
-			ServiceWait: took})
+			ServiceWait: serviceWait})
 	case draw < 96:
 		s.lastID++
-		opened := ExistingConnection{Request: s.request(), Server: id, Inherited: s.rng.IntN(2) == 0}
-		s.open, s.at = append(s.open, Attempt{ID: opened.ID, Server: id}), append(s.at, node)
-		s.handle(node, opened)
+		existing := ExistingConnection{Request: s.request(), Server: id, Inherited: s.rng.IntN(2) == 0}
+		s.openAttempts, s.openNodes = append(s.openAttempts, Attempt{ID: existing.ID, Server: id}),
+			append(s.openNodes, node)
+		s.handle(node, existing)
 	case draw < 97:
 		s.handle(node, ClockOffset{Ahead: time.Duration(s.rng.IntN(400)) * ms,
 			ReferenceRead: s.rng.IntN(3) == 0})
@@ -312,85 +317,87 @@
 	}
 }
 
-// handOver makes the process that comes after n, as a node does.
+// handOver replaces a node's process with a successor.
 func (s *stream) handOver(node int) {
 	data, err := json.Marshal(s.nodes[node].HandoverState(s.now))
-	if err != nil { // a server that was never listed has no weight, and its load no bound
-		fmt.Fprintf(s.out, "no memory: %v\n", err)
+	if err != nil {
+		// A server that was never listed has weight 0. Its utilisation can be infinite, which JSON cannot
+		// represent.
+		fmt.Fprintf(s.output, "no memory: %v\n", err)
 		return
 	}
-	fmt.Fprintf(s.out, "memory %s\n", data)
-	var memory HandoverState
-	if err := json.Unmarshal(data, &memory); err != nil {
+	fmt.Fprintf(s.output, "memory %s\n", data)
+	var state HandoverState
+	if err := json.Unmarshal(data, &state); err != nil {
 		panic(err)
 	}
 	config := s.config
 	config.NodeIndex = node
 	s.nodes[node] = New(config, uint64(s.now))
-	list := s.list(s.servers)
-	for _, e := range memory.Servers {
-		if s.rng.IntN(4) > 0 && int(e.ID) <= len(list) {
-			list[e.ID-1].StartedAt = e.StartedAt
+	endpoints := s.endpointList(s.serverCount)
+	for _, record := range state.Servers {
+		if s.rng.IntN(4) > 0 && int(record.ID) <= len(endpoints) {
+			endpoints[record.ID-1].StartedAt = record.StartedAt
 		}
 	}
-	s.handle(node, EndpointUpdate{Kind: ListCached, Servers: list})
-	s.nodes[node].Restore(s.now+time.Duration(s.rng.IntN(2))*time.Minute, memory)
-	for id := range ServerID(s.servers) {
-		fmt.Fprintf(s.out, "start %d %d\n", id, s.nodes[node].LatestStart(id))
+	s.handle(node, EndpointUpdate{Kind: ListCached, Servers: endpoints})
+	s.nodes[node].Restore(s.now+time.Duration(s.rng.IntN(2))*time.Minute, state)
+	for id := range ServerID(s.serverCount) {
+		fmt.Fprintf(s.output, "start %d %d\n", id, s.nodes[node].LatestStart(id))
 	}
-	fmt.Fprintf(s.out, "avoided %d\n", s.nodes[node].ExcludedServerCount(s.now))
+	fmt.Fprintf(s.output, "avoided %d\n", s.nodes[node].ExcludedServerCount(s.now))
 }
 
-// streamDigest plays one stream, and counts the kinds of its actions.
-func streamDigest(config Config, servers int, seed uint64, kinds map[string]int) string {
+// streamDigest runs one stream and returns its digest. It counts the actions by kind.
+func streamDigest(config Config, serverCount int, seed uint64, actionCounts map[string]int) string {
 	digest := sha256.New()
-	s := newStream(config, servers, seed, digest)
-	s.kinds = kinds
+	s := newStream(config, serverCount, seed, digest)
+	s.actionCounts = actionCounts
 	for range streamSteps {
 		s.step()
 	}
 	return fmt.Sprintf("%x", digest.Sum(nil))
 }
 
-// keptDigests reads the digests by the names of their streams.
-func keptDigests(t *testing.T) map[string]string {
+// readDigests reads the recorded digests by stream name.
+func readDigests(t *testing.T) map[string]string {
 	t.Helper()
 	file, err := os.Open("testdata/streams.txt")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer file.Close()
-	kept := map[string]string{}
-	for lines := bufio.NewScanner(file); lines.Scan(); {
-		name, digest, _ := strings.Cut(lines.Text(), ": ")
-		kept[name] = digest
+	digests := map[string]string{}
+	for scanner := bufio.NewScanner(file); scanner.Scan(); {
+		name, digest, _ := strings.Cut(scanner.Text(), ": ")
+		digests[name] = digest
 	}
-	return kept
+	return digests
 }
 
-func TestRecordedStreamsKeepTheirDigests(t *testing.T) {
-	want, total := keptDigests(t), map[string]int{}
+func TestStreamDigests(t *testing.T) {
+	want, actionCounts := readDigests(t), map[string]int{}
 	for name, config := range streamConfigs() {
-		servers := 6
+		serverCount := 6
 		if name == "many servers" {
-			servers = 60
+			serverCount = 60
 		}
 		for seed := range uint64(streamSeeds) {
-			line := fmt.Sprintf("%s, seed %d", name, seed)
-			if parts, ok := config.SlowStartQuotas.(*streamQuotas); ok {
-				*parts = streamQuotas{left: map[ServerID]int{}}
+			streamName := fmt.Sprintf("%s, seed %d", name, seed)
+			if quotas, ok := config.SlowStartQuotas.(*scriptedQuotas); ok {
+				*quotas = scriptedQuotas{remaining: map[ServerID]int{}}
 			}
-			if digest := streamDigest(config, servers, seed, total); digest != want[line] {
-				t.Errorf("%s: %s", line, digest)
+			if got := streamDigest(config, serverCount, seed, actionCounts); got != want[streamName] {
+				t.Errorf("%s: digest is %s", streamName, got)
 			}
 		}
 	}
 	if len(want) != len(streamConfigs())*streamSeeds {
-		t.Errorf("%d digests are kept", len(want))
+		t.Errorf("%d recorded digests, want one for each stream and seed", len(want))
 	}
 	for _, kind := range []string{"attempt", "reject", "fail", "migrate", "check", "gossip", "watch"} {
-		if total[kind] < 20 {
-			t.Errorf("%d of %q among %v: the streams show too little", total[kind], kind, total)
+		if actionCounts[kind] < 20 {
+			t.Errorf("%d actions of kind %q, want at least 20: %v", actionCounts[kind], kind, actionCounts)
 		}
 	}
 }
--- a/balance/watch_test.go
+++ b/balance/watch_test.go
@@ -8,36 +8,38 @@
 	"time"
 )
 
-// A discovery service works through 15 calls a second in turn, those too that have timed out, when 80 nodes
-// lose their watch at once. All have their list soon. Without a bound on the calls of all nodes the queue
-// would stay longer than a call waits.
+// 80 nodes lose their watch at once, and a discovery service handles 15 calls per second in order of arrival,
+// including those that have timed out. All nodes must get the list soon. Without a bound on the rate of calls
+// by all nodes, the wait in the queue would remain longer than the timeout of a call.
 func TestNodesDoNotOverloadDiscovery(t *testing.T) {
 	const nodes = 80
-	for kind, within := range map[UpdateKind]time.Duration{WatchFailed: 15 * time.Second,
+	for kind, limit := range map[UpdateKind]time.Duration{WatchFailed: 15 * time.Second,
 		ListCached: 10 * time.Second} {
 		config := testConfig()
 		config.EndpointsPushed = false
-		begin := time.Minute
-		q := &callQueue{nodes: fleet(config, nodes), free: begin}
-		for i, n := range q.nodes {
-			q.schedule(i, n.handle(EndpointUpdate{Kind: kind}))
+		startedAt := time.Minute
+		service := &queueingService{nodes: newTestNodes(config, nodes), busyUntil: startedAt}
+		for i, n := range service.nodes {
+			service.schedule(i, n.handle(EndpointUpdate{Kind: kind}))
 		}
-		for q.served < nodes && len(q.calls) > 0 {
-			if q.next().at-begin > within {
-				t.Errorf("kind %v: %d of %d nodes have the list after %v", kind, q.served, nodes, within)
+		for service.served < nodes && len(service.pending) > 0 {
+			if service.next().at-startedAt > limit {
+				t.Errorf("kind %v: only %d of %d nodes have the list after %v", kind, service.served, nodes,
+					limit)
 				break
 			}
-			q.serve()
+			service.serve()
 		}
 	}
 }
 
-// callQueue is a discovery service in virtual time whose queue has a bound, and the calls that come to it.
-type callQueue struct {
-	nodes  []*testNode
-	calls  []watchCall // to come
-	served int
-	free   time.Duration // when the service has done its work
+// queueingService simulates a discovery service with a bounded queue, and the calls of the nodes to it, in
+// virtual time.
+type queueingService struct {
+	nodes     []*testNode
+	pending   []watchCall // future calls
+	served    int
+	busyUntil time.Duration // when the service has worked through its queue
 }
 
 type watchCall struct {
@@ -45,223 +47,233 @@
 	at   time.Duration
 }
 
-// schedule adds the calls that follow from a node's actions.
-func (q *callQueue) schedule(node int, acts []Action) {
-	for _, a := range acts {
+// schedule adds the calls that result from a node's actions.
+func (q *queueingService) schedule(node int, actions []Action) {
+	for _, a := range actions {
 		switch a := a.(type) {
 		case WatchEndpoints:
-			q.calls = append(q.calls, watchCall{node: node, at: q.nodes[node].now})
+			q.pending = append(q.pending, watchCall{node: node, at: q.nodes[node].now})
 		case SetTimer:
-			q.calls = append(q.calls, watchCall{node: node, at: q.nodes[node].now + a.After})
+			q.pending = append(q.pending, watchCall{node: node, at: q.nodes[node].now + a.After})
 		}
 	}
 }
 
-// next returns the call that comes next.
-func (q *callQueue) next() watchCall {
-	slices.SortFunc(q.calls, func(x, y watchCall) int { return cmp.Compare(x.at, y.at) })
-	return q.calls[0]
+// next returns the earliest pending call.
+func (q *queueingService) next() watchCall {
+	slices.SortFunc(q.pending, func(x, y watchCall) int { return cmp.Compare(x.at, y.at) })
+	return q.pending[0]
 }
 
-// serve takes the next call.
-func (q *callQueue) serve() {
-	const work, patience, places = time.Second / 15, 2 * time.Second, 50
-	c := q.calls[0]
-	q.calls = q.calls[1:]
-	n := q.nodes[c.node]
-	n.now = c.at
-	if q.free > c.at+places*work { // no room to wait
-		q.schedule(c.node, n.handle(EndpointUpdate{Kind: WatchFailed}))
+// serve handles the earliest pending call. next has to be called first.
+func (q *queueingService) serve() {
+	const callDuration, callTimeout, queueLength = time.Second / 15, 2 * time.Second, 50
+	call := q.pending[0]
+	q.pending = q.pending[1:]
+	node := q.nodes[call.node]
+	node.now = call.at
+	if q.busyUntil > call.at+queueLength*callDuration { // the queue is full
+		q.schedule(call.node, node.handle(EndpointUpdate{Kind: WatchFailed}))
 		return
 	}
-	if q.free = max(q.free, c.at) + work; q.free <= c.at+patience {
+	if q.busyUntil = max(q.busyUntil, call.at) + callDuration; q.busyUntil <= call.at+callTimeout {
 		q.served++
 		return
 	}
-	n.now = c.at + patience // its time is up, its work still to do
-	q.schedule(c.node, n.handle(EndpointUpdate{Kind: WatchFailed}))
+	node.now = call.at + callTimeout // the call has timed out but stays in the queue
+	q.schedule(call.node, node.handle(EndpointUpdate{Kind: WatchFailed}))
 }
 
-// discoveryService is a service in virtual time for all nodes. It works through its calls in turn, those too
-// that have timed out.
+// discoveryService simulates a discovery service in virtual time. It handles calls in order of arrival,
+// including those that have timed out.
 type discoveryService struct {
-	work     time.Duration // for a call
-	patience time.Duration // a call that waits longer fails, and is worked on all the same
-	down     time.Duration // until then it refuses each call at once,
-	silent   bool          // or says nothing, so that each is given up after a while
+	callDuration time.Duration // work for one call
+	callTimeout  time.Duration // a call that takes longer fails, but stays in the queue
+	downUntil    time.Duration // until then every call fails
+	unresponsive bool          // calls during the outage time out; otherwise they are refused at once
 
-	free          time.Duration // when it has done its work
-	calls, failed int           // since it is back
+	busyUntil              time.Duration // when it has worked through its queue
+	callCount, failedCount int           // since the end of the outage
 }
 
-// answer tells how long a call takes, and whether it is answered with the list.
-func (s *discoveryService) answer(now time.Duration) (took time.Duration, ok bool) {
-	if now < s.down && s.silent {
+// handleCall returns the duration of a call, and whether it succeeds and returns the list.
+func (s *discoveryService) handleCall(now time.Duration) (duration time.Duration, ok bool) {
+	if now < s.downUntil && s.unresponsive {
 		return 3600 * ms, false
-	} else if now < s.down {
+	} else if now < s.downUntil {
 		return ms, false
 	}
-	s.calls++
-	s.free = max(s.free, now) + s.work
-	if took = s.free - now; took > s.patience {
-		s.failed++
-		return s.patience, false
+	s.callCount++
+	s.busyUntil = max(s.busyUntil, now) + s.callDuration
+	if duration = s.busyUntil - now; duration > s.callTimeout {
+		s.failedCount++
+		return s.callTimeout, false
 	}
-	return took, true
+	return duration, true
 }
 
-// watchers has nodes call the service until all have the list, and returns when each had it, in order. All
-// begin at 0 with an update of a kind.
-func (s *discoveryService) watchers(fleet, nodes int, begin UpdateKind, seed uint64,
-	until time.Duration) (had []time.Duration) {
+// simulateNodes lets nodes call the service until all have the list, and returns the sorted times at which
+// they received it. Each node starts at time 0 with an update of the initial kind. The nodes are configured
+// for a deployment of nodeCount nodes, of which only the given number is simulated.
+func (s *discoveryService) simulateNodes(nodeCount, simulated int, initial UpdateKind, seed uint64,
+	until time.Duration) (receivedAt []time.Duration) {
 	type event struct {
-		at   time.Duration
-		node int
-		ev   Event
-		call bool
+		at     time.Duration
+		node   int
+		event  Event
+		isCall bool
 	}
-	var next []event
-	var all []*Balancer
-	do := func(at time.Duration, n int, ev Event) {
-		for _, a := range all[n].Handle(at, ev) {
+	var pending []event
+	var balancers []*Balancer
+	handle := func(at time.Duration, node int, ev Event) {
+		for _, a := range balancers[node].Handle(at, ev) {
 			switch a := a.(type) {
 			case WatchEndpoints:
-				next = append(next, event{at: at, node: n, call: true})
+				pending = append(pending, event{at: at, node: node, isCall: true})
 			case SetTimer:
-				next = append(next, event{at: at + a.After, node: n, ev: TimerFired{a.Token}})
+				pending = append(pending, event{at: at + a.After, node: node, event: TimerFired{a.Token}})
 			}
 		}
 	}
-	for i := range nodes {
+	for i := range simulated {
 		config := testConfig()
-		config.EndpointsPushed, config.NodeCount, config.NodeIndex = false, fleet, i
-		all = append(all, New(config, seed*1000+uint64(i)))
-		do(0, i, EndpointUpdate{Kind: begin})
+		config.EndpointsPushed, config.NodeCount, config.NodeIndex = false, nodeCount, i
+		balancers = append(balancers, New(config, seed*1000+uint64(i)))
+		handle(0, i, EndpointUpdate{Kind: initial})
 	}
-	for len(next) > 0 {
-		first := slices.MinFunc(next, func(x, y event) int { return cmp.Compare(x.at, y.at) })
-		e, at := first, slices.IndexFunc(next, func(x event) bool { return x.at == first.at })
-		if next = slices.Delete(next, at, at+1); e.at > until {
+	for len(pending) > 0 {
+		earliest := slices.MinFunc(pending, func(x, y event) int { return cmp.Compare(x.at, y.at) })
+		next, index := earliest, slices.IndexFunc(pending, func(x event) bool { return x.at == earliest.at })
+		if pending = slices.Delete(pending, index, index+1); next.at > until {
 			break
-		} else if !e.call {
-			do(e.at, e.node, e.ev)
-		} else if took, ok := s.answer(e.at); ok {
-			had = append(had, e.at+took)
+		} else if !next.isCall {
+			handle(next.at, next.node, next.event)
+		} else if duration, ok := s.handleCall(next.at); ok {
+			receivedAt = append(receivedAt, next.at+duration)
 		} else {
-			next = append(next, event{at: e.at + took, node: e.node, ev: EndpointUpdate{Kind: WatchFailed,
-				ServiceWait: took}})
+			pending = append(pending, event{at: next.at + duration, node: next.node,
+				event: EndpointUpdate{Kind: WatchFailed, ServiceWait: duration}})
 		}
 	}
-	slices.Sort(had)
-	return had
+	slices.Sort(receivedAt)
+	return receivedAt
 }
 
-// Nodes have the list within 6 s of the recovery of the discovery service, whatever calls failed before: the
-// next call begins within 3.45 s of one that failed at once, and within 3.9 s of the beginning of one that
-// timed out, which leaves a second for a slow connection and half of one for the answer. A service with more
-// calls than it can answer in that time is spared: few calls fail, and all nodes have the list in the end.
+// Nodes must have the list within 6 s of the recovery of the discovery service, whatever calls failed before.
+// The next call starts within 3.45 s of one that failed at once, and within 3.9 s of the start of one that
+// timed out, which leaves 1 s for a slow connection and 0.5 s for the response. A service that gets more
+// calls than it can answer in that time must not be overloaded: few calls may fail, and all nodes must get
+// the list eventually.
 func TestNodesGetListSoonAfterServiceRecovers(t *testing.T) {
-	const never = time.Hour
-	for _, c := range []struct {
-		fleet, nodes int
-		begin        UpdateKind
-		service      discoveryService
-		within       time.Duration // of its return
-		failed       int           // after that, at most
+	const noLimit = time.Hour
+	for _, test := range []struct {
+		nodeCount, simulated int
+		initial              UpdateKind
+		service              discoveryService
+		maxRecovery          time.Duration // limit on the time from the end of the outage to the last list
+		maxFailed            int           // limit on the failed calls after the outage
 	}{
-		{300, 24, WatchBroken, discoveryService{down: 6 * time.Second}, 3500 * ms, 0},
-		{30, 30, WatchBroken, discoveryService{down: 3 * time.Second}, 3500 * ms, 0},
-		{5700, 24, WatchBroken, discoveryService{down: time.Minute}, 3500 * ms, 0},
-		{30, 30, WatchBroken, discoveryService{down: 8 * time.Second, silent: true}, 3900 * ms, 0},
-		{300, 300, WatchBroken, discoveryService{down: 6 * time.Second, work: time.Second / 100}, 4500 * ms,
-			0},
-		{300, 300, ListCached, discoveryService{work: time.Second / 100}, 8 * time.Second, 0},
-		{300, 300, ListCached, discoveryService{work: time.Second / 20}, time.Minute, 300},
-		{300, 300, ListCached, discoveryService{work: time.Second / 15}, time.Minute, 300},
-		{300, 300, WatchBroken, discoveryService{work: time.Second / 20}, time.Minute, 300},
-		{300, 300, WatchBroken, discoveryService{work: time.Second / 15}, 2 * time.Minute, 350},
-		{300, 300, WatchBroken, discoveryService{down: 6 * time.Second, work: time.Second / 20}, time.Minute,
-			300},
-		{300, 300, WatchBroken, discoveryService{down: 6 * time.Second, work: time.Second / 15},
+		{300, 24, WatchBroken, discoveryService{downUntil: 6 * time.Second}, 3500 * ms, 0},
+		{30, 30, WatchBroken, discoveryService{downUntil: 3 * time.Second}, 3500 * ms, 0},
+		{5700, 24, WatchBroken, discoveryService{downUntil: time.Minute}, 3500 * ms, 0},
+		{30, 30, WatchBroken, discoveryService{downUntil: 8 * time.Second, unresponsive: true}, 3900 * ms, 0},
+		{300, 300, WatchBroken, discoveryService{downUntil: 6 * time.Second, callDuration: time.Second / 100},
+			4500 * ms, 0},
+		{300, 300, ListCached, discoveryService{callDuration: time.Second / 100}, 8 * time.Second, 0},
+		{300, 300, ListCached, discoveryService{callDuration: time.Second / 20}, time.Minute, 300},
+		{300, 300, ListCached, discoveryService{callDuration: time.Second / 15}, time.Minute, 300},
+		{300, 300, WatchBroken, discoveryService{callDuration: time.Second / 20}, time.Minute, 300},
+		{300, 300, WatchBroken, discoveryService{callDuration: time.Second / 15}, 2 * time.Minute, 350},
+		{300, 300, WatchBroken, discoveryService{downUntil: 6 * time.Second, callDuration: time.Second / 20},
+			time.Minute, 300},
+		{300, 300, WatchBroken, discoveryService{downUntil: 6 * time.Second, callDuration: time.Second / 15},
 			2 * time.Minute, 350},
 	} {
-		name := fmt.Sprintf("%d of %d, kind %v, down %v, work %v, silent %v", c.nodes, c.fleet, c.begin,
-			c.service.down, c.service.work, c.service.silent)
+		name := fmt.Sprintf("%d of %d nodes, kind %v, down until %v, call duration %v, unresponsive %v",
+			test.simulated, test.nodeCount, test.initial,
+			test.service.downUntil, test.service.callDuration, test.service.unresponsive)
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(10) {
-				s := c.service
-				s.patience = 2 * time.Second
-				had := s.watchers(c.fleet, c.nodes, c.begin, seed, never)
-				if len(had) < c.nodes {
-					t.Fatalf("%d of %d have it", len(had), c.nodes)
+				service := test.service
+				service.callTimeout = 2 * time.Second
+				receivedAt := service.simulateNodes(test.nodeCount, test.simulated, test.initial, seed,
+					noLimit)
+				if len(receivedAt) < test.simulated {
+					t.Fatalf("%d of %d nodes have the list", len(receivedAt), test.simulated)
 				}
-				s.checkRecovery(t, had[len(had)-1], c.within, c.failed)
+				service.checkRecovery(t, receivedAt[len(receivedAt)-1], test.maxRecovery, test.maxFailed)
 			}
 		})
 	}
 }
 
-// checkRecovery holds a service to the time after its return in which the last node has the list, and to the
-// calls that fail in that time.
-func (s *discoveryService) checkRecovery(t *testing.T, last, within time.Duration, failed int) {
+// checkRecovery checks the time from the end of the outage until the last node has the list, and the number
+// of calls that fail in that time.
+func (s *discoveryService) checkRecovery(t *testing.T, lastReceived, limit time.Duration, maxFailed int) {
 	t.Helper()
-	if after := last - s.down; after > within {
-		t.Errorf("the last has it after %v", after)
+	if recovery := lastReceived - s.downUntil; recovery > limit {
+		t.Errorf("the last node has the list after %v", recovery)
 	}
-	if s.failed > failed {
-		t.Errorf("%d calls of %d failed since", s.failed, s.calls)
+	if s.failedCount > maxFailed {
+		t.Errorf("%d of %d calls failed after the outage", s.failedCount, s.callCount)
 	}
 }
 
-// From the moment that the service can be reached a node calls early enough to have the list within 6 s. The
-// worst case is a call that began just before: a connection that did not come up took 1 s, a refusal came at
-// once or late, and a timeout took 3.6 s. The next connection takes 1 s at most.
-func TestNextWatchComesInTime(t *testing.T) {
-	const dial, answer, bound = time.Second, 500 * ms, 6 * time.Second
-	for _, c := range []struct {
-		nodes        int
-		took, waited time.Duration // until it failed; what it waited at the service
+// Once the discovery service can be reached, a node must call early enough to have the list within 6 s. The
+// worst case is a failing call that started just before: a failed connection takes 1 s, a refusal arrives at
+// once or late, and a timeout takes 3.6 s. The next connection takes at most 1 s.
+func TestWatchIntervalMeetsRecoveryTime(t *testing.T) {
+	const dialTimeout, responseTime, maxRecovery = time.Second, 500 * ms, 6 * time.Second
+	for _, test := range []struct {
+		nodes                     int
+		callDuration, serviceWait time.Duration // until the failure; of these, the wait at the service
 	}{
-		{1, 0, 0}, {300, 0, 0}, {5700, 0, 0}, {300, dial, 0}, {5700, dial, 0}, {5700, 400 * ms, 400 * ms},
-		{30, dial, 0}, {30, 2 * time.Second, 2 * time.Second}, {46, 3600 * ms, 3600 * ms},
+		{1, 0, 0}, {300, 0, 0}, {5700, 0, 0}, {300, dialTimeout, 0}, {5700, dialTimeout, 0},
+		{5700, 400 * ms, 400 * ms}, {30, dialTimeout, 0}, {30, 2 * time.Second, 2 * time.Second},
+		{46, 3600 * ms, 3600 * ms},
 	} {
 		config := testConfig()
-		config.NodeCount, config.EndpointsPushed = c.nodes, false
+		config.NodeCount, config.EndpointsPushed = test.nodes, false
 		n := newTestNode(config, readyServers(1)...)
 		for range 50 {
-			next := n.handle(EndpointUpdate{Kind: WatchFailed, ServiceWait: c.waited})[0].(SetTimer)
-			if all := c.took + next.After + dial + answer; all > bound || next.After < watchBackoffBase/2 ||
-				next.Token != timerWatchEndpoints {
-				t.Errorf("%+v: %v in all, %v of it until the next call", c, all, next.After)
+			timer := n.handle(EndpointUpdate{Kind: WatchFailed, ServiceWait: test.serviceWait})[0].(SetTimer)
+			if recovery := test.callDuration + timer.After + dialTimeout +
+				responseTime; recovery > maxRecovery || timer.After < watchBackoffBase/2 ||
+				timer.Token != timerWatchEndpoints {
+				t.Errorf("%+v: recovery takes %v, including a pause of %v", test, recovery, timer.After)
 			}
-			if since := c.waited + next.After; c.nodes >= 300 && since < maxWatchBackoff/2 {
-				t.Errorf("%+v: that many nodes call again within %v", c, since)
+			if sinceArrival := test.serviceWait + timer.After; test.nodes >= 300 &&
+				sinceArrival < maxWatchBackoff/2 {
+				t.Errorf("%+v: a node of many calls again after only %v", test, sinceArrival)
 			}
 		}
 	}
 }
 
-// Many nodes back off from a service that let calls wait, also when it then refuses some at once, until it
-// delivers a list; otherwise it would only work on calls that have timed out.
-func TestWatchesBackOffFromBusyService(t *testing.T) {
+// If there are many nodes they must back off from a service that lets calls wait, even if it then refuses
+// some at once, until it delivers a list. Otherwise the service would only handle calls that have already
+// timed out.
+func TestWatchesBackOffFromOverloadedService(t *testing.T) {
 	config := testConfig()
 	config.NodeCount, config.EndpointsPushed = 300, false
 	n := newTestNode(config, readyServers(1)...)
-	next := func(took time.Duration) time.Duration {
-		return n.handle(EndpointUpdate{Kind: WatchFailed, ServiceWait: took})[0].(SetTimer).After
+	pauseAfterFailure := func(serviceWait time.Duration) time.Duration {
+		return n.handle(EndpointUpdate{Kind: WatchFailed, ServiceWait: serviceWait})[0].(SetTimer).After
 	}
-	all := time.Duration(config.NodeCount) * watchRequestInterval
-	for i, longest := range []time.Duration{all, 2 * all, 4 * all, 4 * all} {
-		took := 2 * time.Second
+	roundDuration := time.Duration(config.NodeCount) * watchRequestInterval
+	for i, maxPause := range []time.Duration{roundDuration, 2 * roundDuration, 4 * roundDuration,
+		4 * roundDuration} {
+		serviceWait := 2 * time.Second
 		if i == 2 {
-			took = ms
+			serviceWait = ms
 		}
-		if after := next(took); after < (all+longest)/2 || after > (all+longest)*3/2 {
-			t.Errorf("call %d: the next one %v later", i, after)
+		if pause := pauseAfterFailure(serviceWait); pause < (roundDuration+maxPause)/2 ||
+			pause > (roundDuration+maxPause)*3/2 {
+			t.Errorf("pause after failure %d is %v", i, pause)
 		}
 	}
 	n.handle(EndpointUpdate{Kind: ListDelta})
-	if after := next(ms); after > maxWatchBackoff*3/2 {
-		t.Errorf("it has told a list, and is called %v later", after)
+	if pause := pauseAfterFailure(ms); pause > maxWatchBackoff*3/2 {
+		t.Errorf("pause after a list was received is %v", pause)
 	}
 }
