--- a/balance/affinity.go
+++ b/balance/affinity.go
@@ -18,11 +18,11 @@
 
 // affinityEntry records the server of one client.
 type affinityEntry struct {
-	key         string
-	server      *server
-	connections int           // established or attempted by the client
-	serverStart time.Duration // start time of the server
-	expiresAt   time.Duration // valid while connections is 0
+	key             string
+	server          *server
+	connections     int           // established or attempted by the client
+	serverStartedAt time.Duration // start time of the server
+	expiresAt       time.Duration // valid while connections is 0
 }
 
 func newAffinityTable(maxEntries int) affinityTable {
@@ -32,7 +32,7 @@
 // lookup returns the server of a client if it is ready and has not restarted, else nil.
 func (t *affinityTable) lookup(key string) *server {
 	e := t.entries[key]
-	if e != nil && e.server.State == Ready && e.server.StartedAt == e.serverStart {
+	if e != nil && e.server.State == Ready && e.server.StartedAt == e.serverStartedAt {
 		return e.server
 	}
 	t.remove(e)
@@ -46,7 +46,7 @@
 	}
 	e := cmp.Or(t.entries[key], &affinityEntry{key: key})
 	t.entries[key] = e
-	e.server, e.serverStart, e.connections = s, s.StartedAt, e.connections+1
+	e.server, e.serverStartedAt, e.connections = s, s.StartedAt, e.connections+1
 	return e
 }
 
@@ -79,4 +79,4 @@
 }
 
 // retarget changes the server to which the client reconnects.
-func (e *affinityEntry) retarget(to *server) { e.server, e.serverStart = to, to.StartedAt }
+func (e *affinityEntry) retarget(to *server) { e.server, e.serverStartedAt = to, to.StartedAt }
--- a/balance/api.go
+++ b/balance/api.go
@@ -4,7 +4,7 @@
 //
 // The package does no I/O, starts no goroutines and reads no clock. A node passes events to Balancer.Handle
 // and carries out the returned actions. Connections, timers, the encoding of gossip, the source of the
-// endpoint list and the leasing of quotas belong to the node.
+// endpoint list and the leasing of quotas are handled by the node.
 //
 // Times are durations since a fixed moment that the caller chooses. All nodes of a deployment have to use the
 // same moment if they compare the start times of servers.
@@ -118,8 +118,8 @@
 
 	// TimeoutUncertainty is the largest error of Request.Timeout in either direction.
 	TimeoutUncertainty time.Duration
-	// ClockUntrusted is set if the offset between this node's clock and the clock that dates the listed start
-	// times is unknown until a ClockOffset arrives. Otherwise the two clocks count as equal.
+	// ClockUntrusted is set if the offset between this node's clock and the reference clock of the listed
+	// start times is unknown until a ClockOffset arrives. Otherwise the two clocks are assumed to agree.
 	ClockUntrusted bool
 	// StartTimeUncertainty is the largest error of Server.StartedAt in either direction, in addition to clock
 	// offsets.
--- a/balance/events.go
+++ b/balance/events.go
@@ -47,8 +47,8 @@
 	Reconnect bool
 }
 
-// ClockOffset states how far this node's clock may be ahead of the reference clock that dates the listed
-// start times. The largest offset received is used.
+// ClockOffset reports how far this node's clock may be ahead of the reference clock of the listed start
+// times. The largest offset received is used.
 type ClockOffset struct {
 	Ahead time.Duration
 	// ReferenceRead is set if the reference clock was read. Otherwise this node's clock is only known to have
--- a/balance/loadgossip.go
+++ b/balance/loadgossip.go
@@ -14,7 +14,7 @@
 	// gossipInterval is the time between two repetitions of the load that a node puts on a server. A
 	// GossipHeldLoad is valid for twice this time.
 	gossipInterval = 10 * time.Second
-	// workPerCore is the work of one core per second, in units of a microsecond of processor time.
+	// workPerCore is the work of one core per second. The unit of work is a microsecond of processor time.
 	workPerCore = 1e6
 	// gossipLoadStep is the change of a server's load that is sent immediately, in units of work per second.
 	gossipLoadStep = 0.06 * workPerCore
--- a/balance/state.go
+++ b/balance/state.go
@@ -75,7 +75,7 @@
 
 func (e *affinityEntry) record(now time.Duration) AffinityRecord {
 	record := AffinityRecord{
-		ClientKey: e.key, Server: e.server.ID, StartedAt: e.serverStart, ExpiresAt: e.expiresAt,
+		ClientKey: e.key, Server: e.server.ID, StartedAt: e.serverStartedAt, ExpiresAt: e.expiresAt,
 	}
 	if e.connections > 0 {
 		record.ExpiresAt = now + affinityTTL
@@ -124,7 +124,7 @@
 	if s == nil || record.ClientKey == "" || record.ExpiresAt <= now || tableFull {
 		return
 	}
-	restored := &affinityEntry{key: record.ClientKey, server: s, serverStart: record.StartedAt,
+	restored := &affinityEntry{key: record.ClientKey, server: s, serverStartedAt: record.StartedAt,
 		expiresAt: min(record.ExpiresAt, now+affinityTTL)}
 	b.affinity.entries[restored.key] = restored
 	b.affinity.idle = append(b.affinity.idle, *restored)
