--- a/node/clock.go
+++ b/node/clock.go
@@ -16,7 +16,7 @@
 	wall  func() time.Time // the wall clock
 }
 
-func newClock(lab *Lab) clock {
+func newClock(lab *TestOptions) clock {
 	wall := lab.WallClock
 	if wall == nil {
 		wall = time.Now
@@ -74,5 +74,5 @@
 	}
 	l.clockLead, l.clockLeadSeen = max(l.clockLead, lead), l.clockLeadSeen || observed
 	l.handle(balance.ClockOffset{Ahead: l.clockLead, ReferenceRead: l.clockLeadSeen})
-	l.control.UpdateLimits()
+	l.control.UpdateSlowStartLimits()
 }
