--- a/balance/admission.go
+++ b/balance/admission.go
@@ -34,8 +34,8 @@
 
 // admit adds a request and sets its deadline.
 func (b *Balancer) admit(ev Request) *request {
-	longestTimeout := ev.Timeout + b.config.TimeoutUncertainty
-	timeout := max(ev.Timeout, min(longestTimeout, cmp.Or(b.config.Classes[ev.Class].MaxTimeout, longestTimeout)))
+	timeoutLimit := ev.Timeout + b.config.TimeoutUncertainty
+	timeout := max(ev.Timeout, min(timeoutLimit, cmp.Or(b.config.Classes[ev.Class].MaxTimeout, timeoutLimit)))
 	r := &request{Request: ev, deadline: b.now + timeout}
 	if r.rankingKey() == "" {
 		// A random group, so that all attempts of the request use the same ranking.
