--- a/balance/overload.go
+++ b/balance/overload.go
@@ -41,8 +41,8 @@
 }
 
 // utilisationTarget returns the utilisation up to which a server gets a request. It is higher if the server
-// already has the request's group, because every server that has a part of a group bears the cost of the full
-// group.
+// already has the request's group, because every server that has a part of a group incurs the cost of the
+// full group.
 func (b *Balancer) utilisationTarget(r *request, s *server) float64 {
 	for _, other := range s.requests {
 		if other != r && other.rankingKey() == r.rankingKey() {
--- a/balance/ranking.go
+++ b/balance/ranking.go
@@ -39,8 +39,8 @@
 }
 
 // candidates returns the servers in the order in which they are considered for a request. This is the
-// ranking, except that the servers which already have the request's group come second if groups are kept
-// together.
+// ranking. If groups are kept together, the servers that already have the request's group follow directly
+// after the first one.
 func (b *Balancer) candidates(r *request) []*server {
 	ranking := b.rank(r)
 	if b.config.GossipEnabled || b.groupUtilisationLimit == targetUtilisation || len(ranking) == 0 {
--- a/balance/state.go
+++ b/balance/state.go
@@ -169,8 +169,8 @@
 	}
 }
 
-// handleHandedOver blocks attempts on servers in slow start for an OverloadWindow, whichever process goes on
-// to make them, because both may have made some within that window.
+// handleHandedOver blocks attempts on servers in slow start for an OverloadWindow, in both directions of the
+// handover, because both processes may have made some within that window.
 func (b *Balancer) handleHandedOver(ev HandedOver) {
 	b.handedOver = ev.ToSuccessor
 	b.startTimes.block(b.now + b.config.OverloadWindow)
