--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -64,6 +64,7 @@
 
 func (n *testNode) handle(ev Event) []Action { return slices.Clone(n.Handle(n.now, ev)) }
 
+// request passes a request with a timeout of 2 s to the node and returns its ID and the resulting actions.
 func (n *testNode) request(class, key string) (RequestID, []Action) {
 	id := n.nextID
 	n.nextID++
@@ -76,16 +77,19 @@
 	return id, sentTo(actions)
 }
 
+// establish places a request and accepts its attempt. It returns the request and the server.
 func (n *testNode) establish(class, key string) (RequestID, ServerID) {
 	id, s := n.place(class, key)
 	n.handle(AttemptAccepted{ID: id, Server: s})
 	return id, s
 }
 
+// end closes the established connection of a request.
 func (n *testNode) end(id RequestID, s ServerID) {
 	n.handle(AttemptEnded{ID: id, Server: s, Outcome: OK, Final: true})
 }
 
+// sentTo returns the server of the first attempt among the actions; 0 means that there is none.
 func sentTo(actions []Action) ServerID {
 	for _, a := range actions {
 		if a, ok := a.(Attempt); ok {
@@ -103,6 +107,7 @@
 	}
 }
 
+// finalAnswer returns "reject" or "fail" for the final answer among the actions, or "" if there is none.
 func finalAnswer(actions []Action) string {
 	for _, a := range actions {
 		switch a.(type) {
@@ -131,11 +136,13 @@
 	return ranking[0], ranking[1]
 }
 
+// requestInGroup passes a request of the group "group" to the node. Each ID has a different client key.
 func (n *testNode) requestInGroup(id RequestID) []Action {
 	return n.handle(Request{ID: id, Class: "safe", ClientKey: fmt.Sprint("client-", id), Group: "group",
 		Timeout: time.Second})
 }
 
+// loadReport returns the result of a successful health check of s with the given utilisation.
 func loadReport(s *server, utilisation float64) HealthCheckResult {
 	return HealthCheckResult{Server: s.ID, Outcome: OK, Report: &LoadReport{Utilisation: utilisation}}
 }
@@ -162,6 +169,7 @@
 	return nodes
 }
 
+// checkedServers returns the servers of the health checks among the actions.
 func checkedServers(actions []Action) (ids []ServerID) {
 	for _, a := range actions {
 		if check, ok := a.(HealthCheck); ok {
