--- a/budget/adversary_test.go
+++ b/budget/adversary_test.go
@@ -139,7 +139,7 @@
 	nodes, guaranteed, limit := 2+rng.IntN(6), []float64{0, 0.3, 0.5}[rng.IntN(3)], 2+rng.IntN(20)
 	w = newFlatWorld(seed, nodes, guaranteed, limit, f,
 		&Rule{Limit: limit, Window: 200 * time.Millisecond, ConcurrencyLeaseTerm: term})
-	w.disturbance, w.pause = 0.004, (term/expiringPart-w.settings.HeartbeatInterval)*9/10
+	w.disturbance, w.pause = 0.004, (term/expiringDivisor-w.settings.HeartbeatInterval)*9/10
 	w.play(120 * time.Second)
 	return w, w.describe(seed)
 }
@@ -229,14 +229,14 @@
 		"no recovery delay":                       {faultNoRecoveryDelay, playFlat, 0},
 		"a term from the response":                {faultTermFromResponse, playFlat, 0},
 		"a term by the leader's clock":            {faultTermByLeaderClock, playFlat, 0},
-		"what is used in the window is delegated": {faultUsedDelegated, playFlat, 0},
+		"what is used in the window is delegated": {faultUsedUnitsDelegated, playFlat, 0},
 		"the failure detector is trusted":         {faultFailureDetectorTrusted, playFlat, 0},
-		"repeated grants count twice":             {faultRepeatsAccepted, playFlat, 0},
-		"two leaders are followed":                {faultTwoLeaders, playFlat, 0},
-		"what was delegated unnamed is forgotten": {faultDelegatedRestForgotten, playFlat, 0},
-		"no recovery delay of the undelegated":    {faultNoRecoveryOfUndelegated, playFlat, 0},
-		"a new leader leases concurrency at once": {faultConcurrencyLeasesAtOnce, playConcurrency, 0},
-		"late concurrency leases are used":        {faultLateConcurrencyGrants, playConcurrency, 0},
+		"repeated grants count twice":             {faultRepeatedResponsesAccepted, playFlat, 0},
+		"two leaders are followed":                {faultTwoLeadersFollowed, playFlat, 0},
+		"what was delegated unnamed is forgotten": {faultUnlistedDelegationsForgotten, playFlat, 0},
+		"no recovery delay of the undelegated":    {faultNoRecoveryDelayOfUndelegated, playFlat, 0},
+		"a new leader leases concurrency at once": {faultNoConcurrencyTakeoverDelay, playConcurrency, 0},
+		"late concurrency leases are used":        {faultLateConcurrencyGrantsAccepted, playConcurrency, 0},
 	})
 }
 
@@ -248,15 +248,15 @@
 		"a term from the response":                {faultTermFromResponse, playTree, 0},
 		"a term from a deferred response's send":  {faultTermFromLeaderSend, playTree, 40},
 		"a term by the leader's clock":            {faultTermByLeaderClock, playTree, 0},
-		"what is used in the window is delegated": {faultUsedDelegated, playTree, 0},
+		"what is used in the window is delegated": {faultUsedUnitsDelegated, playTree, 0},
 		"the failure detector is trusted":         {faultFailureDetectorTrusted, playTree, 0},
-		"repeated grants count twice":             {faultRepeatsAccepted, playTree, 0},
-		"reservations delegated to two parents":   {faultTwoLeaders, playTree, 90},
-		"what was delegated unnamed is forgotten": {faultDelegatedRestForgotten, playTree, 0},
-		"no recovery delay of the undelegated":    {faultNoRecoveryOfUndelegated, playTree, 10},
-		"a window of the group without the term":  {faultGroupWindowShort, playTree, 20},
-		"granted and not acquired in the group":   {faultGroupNotCharged, playTree, 0},
-		"what was released is granted again":      {faultReleasedGrantedAgain, playTree, 0},
+		"repeated grants count twice":             {faultRepeatedResponsesAccepted, playTree, 0},
+		"reservations delegated to two parents":   {faultTwoLeadersFollowed, playTree, 90},
+		"what was delegated unnamed is forgotten": {faultUnlistedDelegationsForgotten, playTree, 0},
+		"no recovery delay of the undelegated":    {faultNoRecoveryDelayOfUndelegated, playTree, 10},
+		"a window of the group without the term":  {faultGroupWindowNotExtended, playTree, 20},
+		"granted and not acquired in the group":   {faultGroupUnitsNotAcquired, playTree, 0},
+		"what was released is granted again":      {faultReleasedUnitsRegranted, playTree, 0},
 		"the children's fraction is divided too":  {faultChildFractionIgnored, playTree, 0},
 	})
 }
--- a/budget/api.go
+++ b/budget/api.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// ID names a budget. One that starts anew under an old kind and subject differs in Since.
+// ID identifies a budget. Since distinguishes a new budget from an earlier one of the same kind and subject.
 type ID struct {
 	_       struct{} `cbor:",toarray"`
 	Kind    uint8
@@ -14,14 +14,15 @@
 }
 
 // Compare orders IDs by kind, subject and Since.
-func (x ID) Compare(y ID) int {
-	return cmp.Or(cmp.Compare(x.Kind, y.Kind), cmp.Compare(x.Subject, y.Subject), cmp.Compare(x.Since, y.Since))
+func (id ID) Compare(other ID) int {
+	return cmp.Or(cmp.Compare(id.Kind, other.Kind), cmp.Compare(id.Subject, other.Subject),
+		cmp.Compare(id.Since, other.Since))
 }
 
-// Spec defines one budget by its limit: the units that the whole group may use in any window. The limit is BaseLimit
-// plus the whole units of RampLimit times a factor, and at least 1. The factor rises evenly from RampFrom to 1 during
-// RampDuration after RampStart; it is 1 where RampDuration is 0. Of a Spec that replaces another of the same ID, a
-// lower limit takes effect at once and a higher one after Settings.RecoveryDelay.
+// Spec defines one budget by its limit, the number of units that the group may use in any window. The limit is
+// BaseLimit plus RampLimit times a factor, rounded down to whole units, and at least 1. The factor rises linearly from
+// RampFrom to 1 during RampDuration after RampStart; it is 1 if RampDuration is 0. When a Spec replaces another of the
+// same ID, a lower limit takes effect at once and a higher one after Settings.RecoveryDelay.
 type Spec struct {
 	ID           ID
 	RampLimit    float64 // units
@@ -32,129 +33,134 @@
 	Window       time.Duration // at most Settings.MaxWindow
 }
 
-// maxRampUnits bounds RampLimit, which may be any number.
+// maxRampUnits bounds the ramped part of a limit, since RampLimit may be any number.
 const maxRampUnits = 1e6
 
-// limit is what the group may use in a window that ends now.
+// limit returns the number of units that the group may use in the window that ends now.
 func (s *Spec) limit(now time.Duration) int {
 	factor := 1.0
 	if s.RampDuration > 0 {
-		done := min(max(float64(now-s.RampStart)/float64(s.RampDuration), 0), 1)
-		factor = s.RampFrom + (1-s.RampFrom)*done
+		progress := min(max(float64(now-s.RampStart)/float64(s.RampDuration), 0), 1)
+		factor = s.RampFrom + (1-s.RampFrom)*progress
 	}
 	return max(s.BaseLimit+int(min(max(s.RampLimit*factor, 0), maxRampUnits)), 1)
 }
 
-// mayExceed tells whether the limit of s may ever be higher than that of old.
+// mayExceed reports whether the limit of s may be higher than the limit of old at any time.
 func (s *Spec) mayExceed(old *Spec) bool {
 	return s.RampLimit > old.RampLimit || s.BaseLimit > old.BaseLimit || s.RampFrom > old.RampFrom ||
 		s.RampStart < old.RampStart || s.RampDuration < old.RampDuration
 }
 
-// Rule defines every budget of one kind. Such a budget exists from its first use until nothing of it has effect any
-// more, so there may be one for each of many servers or customers.
+// Rule defines every budget of one kind. Such a budget exists from its first use until none of its units has effect any
+// more, so a kind may have one budget for each of many servers or customers.
 type Rule struct {
 	Limit        int           // units
 	Window       time.Duration // at most Settings.MaxWindow
-	NoDelegation bool          // reservations are never delegated, so a process has its own one Window after its start
+	NoDelegation bool          // reservations are not delegated: a process uses its own one Window after its start
 
-	// ConcurrencyLeaseTerm over 0 makes the kind a concurrency limit: Limit bounds the units in use at once, those
-	// over a reservation are leased for this term, and Window is how long the end of a unit may take to have effect.
+	// ConcurrencyLeaseTerm, if positive, makes the kind a concurrency limit: Limit bounds the units in use at the same
+	// time, units beyond a reservation are leased for this term, and Window is the longest time from the end of a unit
+	// until that end has effect.
 	ConcurrencyLeaseTerm time.Duration
 }
 
 func (r *Rule) isConcurrencyLimit() bool { return r.ConcurrencyLeaseTerm > 0 }
 
-func (r *Rule) isDelegated() bool { return !r.NoDelegation && !r.isConcurrencyLimit() }
+func (r *Rule) allowsDelegation() bool { return !r.NoDelegation && !r.isConcurrencyLimit() }
 
-// Settings are those of a group. All its members have the same, but for Index.
+// Settings configure a member of a group. All members have the same settings except Index.
 type Settings struct {
-	Nodes, Index       int           // how many indexes the group has, and this member's
-	GuaranteedFraction float64       // of each limit, 0 to 1, that is reserved to members; the leader divides the rest
+	Nodes, Index       int           // number of indexes in the group, and index of this member
+	GuaranteedFraction float64       // of each limit, 0 to 1, that is reserved to members; the leader grants the rest
 	MaxWindow          time.Duration // the longest window of any budget
-	LeaseTerm          time.Duration // a grant is used within this time of its request
-	HeartbeatInterval  time.Duration // between a follower's requests
-	MaxClockDrift      float64       // by which the rates of any two clocks differ at most; 0 for defaultClockDrift
-	Parents            int           // over 0: the member follows one of so many Parents, and never leads
+	LeaseTerm          time.Duration // a granted unit is used within this time after its request
+	HeartbeatInterval  time.Duration // between two heartbeats of a follower
+	MaxClockDrift      float64       // largest relative difference of the rates of two clocks; 0 for defaultClockDrift
+	Parents            int           // if positive, the member follows one of this number of Parents, and never leads
 	ChildFraction      float64       // of each limit, 0 to 1, that is reserved to the children of members
 }
 
+// defaultClockDrift is the MaxClockDrift of Settings that do not set it.
 const defaultClockDrift = 0.001
 
 const (
-	holdHeartbeats       = 3 // heartbeat intervals that a leader holds a delegation beyond the effect of a grant
-	driftMargin          = 4 // times MaxClockDrift, by which a span that must not be shorter elsewhere is lengthened
-	timeoutHalfIntervals = 5 // half heartbeat intervals without a response until a leader counts as lost
+	extraDelegationHeartbeats = 3 // heartbeat intervals that a delegation lasts longer than the effect of a grant
+	driftSafetyFactor         = 4 // multiple of MaxClockDrift by which a duration is adjusted to hold on any clock
+	timeoutHalfHeartbeats     = 5 // half heartbeat intervals without a response until a leader is considered lost
 )
 
-// effectHorizon is how long a grant may have effect: its term, and the longest window after its last use.
-func (s *Settings) effectHorizon() time.Duration { return s.effectSpan(s.MaxWindow) }
+// maxEffectDuration returns how long a grant of any budget may have effect: its lease term, and after a use at the end
+// of the term the longest window.
+func (s *Settings) maxEffectDuration() time.Duration { return s.effectDuration(s.MaxWindow) }
 
-// effectSpan is effectHorizon of a budget with a window of its own.
-func (s *Settings) effectSpan(window time.Duration) time.Duration {
+// effectDuration returns how long a grant of a budget with the given window may have effect.
+func (s *Settings) effectDuration(window time.Duration) time.Duration {
 	return s.withDrift(s.LeaseTerm + window)
 }
 
-// leaderHoldTime is how long a leader counts on a delegation, from the LeaderClock that the request repeats.
-func (s *Settings) leaderHoldTime() time.Duration {
-	return s.effectHorizon() + holdHeartbeats*s.HeartbeatInterval
+// delegationTerm returns how long a leader counts on a delegation. The term starts at the LeaderClock that the
+// follower's request repeats.
+func (s *Settings) delegationTerm() time.Duration {
+	return s.maxEffectDuration() + extraDelegationHeartbeats*s.HeartbeatInterval
 }
 
-// RecoveryDelay is how long a delegation binds its giver, which is longer than the leader counts on it. A member that
-// loses its leader, or has started, uses its reservation after it.
-func (s Settings) RecoveryDelay() time.Duration { return s.withDrift(s.leaderHoldTime()) }
+// RecoveryDelay returns how long a member does not use a reservation that it has delegated, counted from the arrival of
+// the leader's latest response. This is longer than the leader counts on the delegation. A member that has lost its
+// leader, or has just started, uses its reservation after this time.
+func (s Settings) RecoveryDelay() time.Duration { return s.withDrift(s.delegationTerm()) }
 
-// withDrift is a span that is no shorter than d on any other clock, with a margin.
+// withDrift lengthens d so that it is no shorter than d on any other clock, with a margin.
 func (s *Settings) withDrift(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * (1 + driftMargin*s.MaxClockDrift))
+	return time.Duration(float64(d) * (1 + driftSafetyFactor*s.MaxClockDrift))
 }
 
-// heartbeatTimeout is how long after its last response a leader counts as there.
+// heartbeatTimeout returns how long a leader is considered alive after its latest response.
 func (s *Settings) heartbeatTimeout() time.Duration {
-	return timeoutHalfIntervals * s.HeartbeatInterval / 2
+	return timeoutHalfHeartbeats * s.HeartbeatInterval / 2
 }
 
-// groupSize is the number of indexes that may send messages to a member.
+// groupSize returns the number of indexes from which a member accepts messages.
 func (s *Settings) groupSize() int { return cmp.Or(s.Parents, s.Nodes) }
 
 const (
-	// MaxEntries bounds each list of a message, so that it fits a datagram.
+	// MaxEntries bounds each list of a message, so that the message fits into one datagram.
 	MaxEntries = 20
 
-	maxWanted            = 16 // units of one budget in a request
-	maxPings             = 8  // members pinged at once
-	maxParentPings       = 4  // parents pinged at once
-	heartbeatsPerPing    = 8  // of a parent that is preferred to the leader
-	returnAfterResponses = 3  // of an earlier parent, one after another, until a member follows it again
-	requestsPerHeartbeat = 20 // of a member to its parent, at most
-	denialsPerHeartbeat  = 5  // of one budget, at most
-	maxPendingRequests   = 64 // whose responses are still accepted
-	maxRuleAccounts      = 1 << 16
+	maxWantedUnits        = 16      // units of one budget in one request
+	maxPings              = 8       // members pinged in one heartbeat
+	maxParentPings        = 4       // parents pinged in one heartbeat
+	heartbeatsPerPing     = 8       // heartbeats per ping of a preferred parent that does not respond
+	responsesBeforeReturn = 3       // consecutive responses of a preferred parent before a member returns to it
+	requestsPerHeartbeat  = 20      // most requests of a member to its parent
+	denialsPerHeartbeat   = 5       // most denied requests for one budget
+	maxPendingRequests    = 64      // latest requests whose responses are accepted
+	maxRuleAccounts       = 1 << 16 // accounts of a member; beyond them new budgets of rules are refused
 )
 
-// Action is what the caller has to do after a call.
+// Action is a task that a call returns for the caller to carry out.
 type Action interface{ isAction() }
 
-// SendRequest asks to send a message to a leader. It may be late, repeated or lost.
+// SendRequest is the action to send a request to a leader. The message may be delayed, duplicated or lost.
 type SendRequest struct {
 	To      int
 	Request LeaseRequest
 }
 
-// SendResponse asks to send a message to a follower. It may be late, repeated or lost.
+// SendResponse is the action to send a response to a follower. The message may be delayed, duplicated or lost.
 type SendResponse struct {
 	To       int
 	Response LeaseResponse
-	ToChild  bool // To is the index of a child of this Parent, not of a member of its group
+	ToChild  bool // To is the index of a child of this Parent; otherwise of a member of its group
 }
 
-// ScheduleTick asks for a call of Tick after a while.
+// ScheduleTick is the action to call Tick after a delay.
 type ScheduleTick struct{ After time.Duration }
 
-// RequestAnswered says that the leader has answered a Request, with a grant or without.
+// RequestAnswered reports that the leader has answered the calls of Request for a budget, with or without a grant.
 type RequestAnswered struct{ ID ID }
 
-// LeaseExpiring asks to end and Release so many units of a concurrency limit before their leases expire.
+// LeaseExpiring is the action to end and Release a number of units of a concurrency limit before their leases expire.
 type LeaseExpiring struct {
 	ID    ID
 	Units int
@@ -166,23 +172,23 @@
 func (RequestAnswered) isAction() {}
 func (LeaseExpiring) isAction()   {}
 
-// Counters count since the start of a member.
+// Counters count events since the start of a member.
 type Counters struct {
-	Reserved, Leased int64 // units acquired of the member's reservation, and of leases
-	Denied           int64 // units requested as none was available
-	Granted          int64 // units granted as leader
-	Expired          int64 // units granted to this member that it did not use in their term
-	Sent             int64 // messages
-	Stale            int64 // responses that are late, repeated, or to no request of this incarnation
-	Unknown          int64 // messages of a kind or from an index that this group does not have
-	DuplicateIndexes int64 // responses that tell of another incarnation with this index
-	LeaderChanges    int64
-}
-
-// State is a member's part in its group.
+	Reserved, Leased int64 // units acquired from the member's reservation, and from grants or leases
+	Denied           int64 // units requested because none was available
+	Granted          int64 // units granted by this member as leader
+	Expired          int64 // units granted to this member and not used within their term
+	Sent             int64 // messages sent to other processes
+	Stale            int64 // responses that are late, duplicated, or match no request of this incarnation
+	Unknown          int64 // messages of an unexpected type or from an index outside the group
+	DuplicateIndexes int64 // responses that report another incarnation with this member's index
+	LeaderChanges    int64 // changes of the leader that this member follows
+}
+
+// State describes a member's roles in its group.
 type State struct {
-	Leader     int  // index of the leader that the member follows, -1 for none
-	HasQuorum  bool // more than half of the group follow that leader
-	Followers  int  // of this member
-	Recovering bool // what an earlier incarnation used may still have effect
+	Leader     int  // index of the leader that the member follows; -1 for none
+	HasQuorum  bool // more than half of the group follows that leader
+	Followers  int  // members that follow this member
+	Recovering bool // units used by an earlier incarnation may still have effect
 }
--- a/budget/concurrency.go
+++ b/budget/concurrency.go
@@ -5,55 +5,56 @@
 	"time"
 )
 
-// A concurrency limit bounds the units in use at once. Reservations of it are not delegated. A unit over a reservation
-// is leased by the leader with a quorum, and renewed while that leader answers; where it does not, the member asks its
-// caller to end the unit well before the lease expires (LeaseExpiring).
+// A concurrency limit bounds the units in use at the same time. Its reservations are not delegated. The leader with a
+// quorum leases units beyond a reservation to a member, and renews the leases as long as it responds. If it does not
+// respond, the member returns LeaseExpiring to its caller, which ends the units well before their lease expires.
 //
-// A leader that takes over learns from the members what they hold. It renews that at once, and leases more only when
-// every lease of the leader before it has expired.
+// After a change of leader the members report the units that they hold to the new leader. It renews their leases at
+// once, and grants new leases only after every lease of the previous leader has expired.
 
-// expiringPart is the last part of a lease's term in which the units under it are to be ended. A process that is
-// stopped for longer than that, less a heartbeat interval, may end them late.
-const expiringPart = 3
+// expiringDivisor defines the last part of the term of a lease, term/expiringDivisor, in which its units are to be
+// ended. A process that is paused for longer than that part less a heartbeat interval may end them too late.
+const expiringDivisor = 3
 
-// concurrency is what a member holds of a concurrency limit, in units.
-type concurrency struct {
-	reserved int // in use, of the reservation
-	leased   int // in use, under leases
-	expired  int // in use, though their leases have expired
-	idle     int // leased and not in use
-	recorded int // leased to this member by the leader's record
-	until    time.Duration
+// concurrencyHolding counts the units of a concurrency limit that a member holds.
+type concurrencyHolding struct {
+	reserved         int // in use, from the reservation
+	leased           int // in use, under leases
+	expired          int // in use although their leases have expired
+	idle             int // leased, not in use
+	recordedByLeader int // leased to this member according to the leader
+	leaseEnd         time.Duration
 }
 
-// units is zero where a member holds nothing and the leader has no record.
-func (c *concurrency) units() int {
-	return c.reserved + c.leased + c.expired + c.idle + c.recorded
+// totalUnits returns the sum of all counts. It is 0 if the member holds nothing and the leader records nothing for it.
+func (c *concurrencyHolding) totalUnits() int {
+	return c.reserved + c.leased + c.expired + c.idle + c.recordedByLeader
 }
 
-// expireConcurrencyLeases ends the leases that have run out, and has none used near its end.
+// expireConcurrencyLeases counts the units of expired leases as expired, and drops idle units near the end of their
+// lease, so that they are not used any more.
 func (b *base) expireConcurrencyLeases(a *account) {
 	if !a.isConcurrencyLimit() {
 		return
 	}
 	c := &a.concurrency
-	if b.now >= c.until {
+	if b.now >= c.leaseEnd {
 		c.leased, c.idle, c.expired = 0, 0, c.expired+c.leased
 	} else if b.isExpiring(a) {
 		c.idle = 0
 	}
 }
 
-// isExpiring tells that the units under leases are to be ended.
+// isExpiring reports whether the units under leases are to be ended.
 func (b *base) isExpiring(a *account) bool {
-	return b.now >= a.concurrency.until-a.rule.ConcurrencyLeaseTerm/expiringPart
+	return b.now >= a.concurrency.leaseEnd-a.rule.ConcurrencyLeaseTerm/expiringDivisor
 }
 
-// acquireConcurrent takes one unit of a concurrency limit, and tells whether there was one.
+// acquireConcurrent takes one unit of a concurrency limit, and reports whether there was one.
 func (b *base) acquireConcurrent(a *account) bool {
 	c := &a.concurrency
 	switch {
-	case b.reservedLeft(a) > 0:
+	case b.availableReservation(a) > 0:
 		c.reserved++
 		b.counters.Reserved++
 	case c.idle > 0:
@@ -66,7 +67,7 @@
 	return true
 }
 
-// releaseConcurrent gives back one unit, first what other members may use.
+// releaseConcurrent ends one unit. Units that other members may then use are ended before those of the reservation.
 func (b *base) releaseConcurrent(a *account) {
 	switch c := &a.concurrency; {
 	case c.expired > 0:
@@ -75,13 +76,14 @@
 		c.leased--
 	case c.reserved > 0:
 		c.reserved--
-		a.spent = append(a.spent, b.now) // the end takes effect within the window
+		a.reservationUses = append(a.reservationUses, b.now) // the end has effect within the window
 	}
 }
 
-// expiringLeases asks to end the units that are over the reservation and not, or not much longer, leased.
-func (b *base) expiringLeases(actions []Action) []Action {
-	if !b.hasConcurrency {
+// appendLeaseExpiring appends the actions to end the units beyond the reservation whose leases have expired or expire
+// soon.
+func (b *base) appendLeaseExpiring(actions []Action) []Action {
+	if !b.hasConcurrencyLimits {
 		return actions
 	}
 	for _, id := range b.ids() {
@@ -102,22 +104,24 @@
 	return actions
 }
 
-// concurrencyHeld lists what this member has under leases, or the leader records for it; the first to expire comes
-// first. What is idle and not waited for is left out, which returns it.
+// concurrencyHeld lists the units that this member has under leases or that the leader records for it, those that
+// expire first at the start. It omits idle units that no request waits for, and thereby returns them to the leader.
 func (b *base) concurrencyHeld() (held []Amount) {
-	if !b.hasConcurrency {
+	if !b.hasConcurrencyLimits {
 		return nil
 	}
-	var all []*account
+	var accounts []*account
 	for _, id := range b.ids() {
 		a := b.account(id)
-		if c := &a.concurrency; a.isConcurrencyLimit() && c.leased+c.idle+c.recorded > 0 {
-			all = append(all, a)
+		if c := &a.concurrency; a.isConcurrencyLimit() && c.leased+c.idle+c.recordedByLeader > 0 {
+			accounts = append(accounts, a)
 		}
 	}
-	slices.SortStableFunc(all, func(x, y *account) int { return int(x.concurrency.until - y.concurrency.until) })
-	for _, a := range all[:min(len(all), MaxEntries)] {
-		if !a.isWaiting {
+	slices.SortStableFunc(accounts, func(x, y *account) int {
+		return int(x.concurrency.leaseEnd - y.concurrency.leaseEnd)
+	})
+	for _, a := range accounts[:min(len(accounts), MaxEntries)] {
+		if !a.hasPendingRequest {
 			a.concurrency.idle = 0
 		}
 		held = append(held, Amount{ID: a.ID, Units: a.concurrency.leased + a.concurrency.idle})
@@ -125,54 +129,58 @@
 	return held
 }
 
-// renewConcurrencyHeld takes in that the leader has recorded the units that a request listed, and renewed their leases
-// or not. Renewed leases run from the time of the request. Only the response to the latest request counts.
-func (b *base) renewConcurrencyHeld(request pendingRequest, isRenewed, isLatest bool) {
+// recordConcurrencyRenewal records that the leader has received the units that a request listed, and whether it has
+// renewed their leases. The term of renewed leases starts at the time of the request. Only the response to the latest
+// request counts.
+func (b *base) recordConcurrencyRenewal(request pendingRequest, isRenewed, isLatest bool) {
 	for _, held := range request.concurrencyHeld {
 		a := b.account(held.ID)
 		if a == nil || !isLatest {
 			continue
 		}
 		c := &a.concurrency
-		c.recorded = held.Units
-		if has := c.leased + c.idle; isRenewed && has > 0 && held.Units >= has {
-			c.until = max(c.until, request.at+a.rule.ConcurrencyLeaseTerm)
+		c.recordedByLeader = held.Units
+		if holding := c.leased + c.idle; isRenewed && holding > 0 && held.Units >= holding {
+			c.leaseEnd = max(c.leaseEnd, request.sentAt+a.rule.ConcurrencyLeaseTerm)
 		}
 	}
 }
 
-// acceptConcurrencyLease takes in a grant of a concurrency limit. All leases of a limit end with the first of them.
+// acceptConcurrencyLease accepts a grant of a concurrency limit. All leases of a limit end with the one that expires
+// first.
 func (b *base) acceptConcurrencyLease(a *account, requestedAt time.Duration, units int) {
-	end, c := requestedAt+a.rule.ConcurrencyLeaseTerm, &a.concurrency
+	expiry, c := requestedAt+a.rule.ConcurrencyLeaseTerm, &a.concurrency
 	if c.leased+c.idle > 0 {
-		end = min(end, c.until)
+		expiry = min(expiry, c.leaseEnd)
 	}
-	if end > b.now {
-		c.idle, c.until, a.deniedAt = c.idle+max(units, 0), end, 0
-		c.recorded += units
+	if expiry > b.now {
+		c.idle, c.leaseEnd, a.deniedAt = c.idle+max(units, 0), expiry, 0
+		c.recordedByLeader += units
 	}
 }
 
-// concurrencyLease is what a leader has leased of a concurrency limit to one incarnation of a member.
+// concurrencyLease records the units of a concurrency limit that a leader has leased to one incarnation of a member.
 type concurrencyLease struct {
-	units   int
-	pending []pendingLease
-	until   time.Duration
+	units       int
+	pending     []pendingLease
+	effectUntil time.Duration
 }
 
-// pendingLease was granted in a response that the member has not acknowledged.
+// pendingLease is a lease granted in a response that the member has not acknowledged.
 type pendingLease struct {
 	seq   uint64
 	units int
 }
 
+// concurrencyLeaseKey identifies a concurrencyLease.
 type concurrencyLeaseKey struct {
 	id          ID
 	node        int
 	incarnation uint64
 }
 
-func (l *concurrencyLease) allUnits() int {
+// totalUnits returns the acknowledged and pending units of the lease.
+func (l *concurrencyLease) totalUnits() int {
 	units := l.units
 	for _, p := range l.pending {
 		units += p.units
@@ -180,29 +188,30 @@
 	return units
 }
 
-// leasedConcurrency is what is leased of a concurrency limit and may be in use. It drops the leases that have expired.
-func (l *leader) leasedConcurrency(id ID) (units int) {
+// leasedConcurrencyUnits returns the number of leased units of a concurrency limit that may be in use. It removes
+// expired leases.
+func (l *leader) leasedConcurrencyUnits(id ID) (units int) {
 	for key, lease := range l.concurrencyLeases {
-		if lease.until <= l.now {
+		if lease.effectUntil <= l.now {
 			delete(l.concurrencyLeases, key)
 		} else if key.id == id {
-			units += lease.allUnits()
+			units += lease.totalUnits()
 		}
 	}
 	return units
 }
 
-// concurrencyAvailable is what may be leased anew.
-func (l *leader) concurrencyAvailable(a *account, hasQuorum bool) int {
+// availableConcurrencyUnits returns how many units of a concurrency limit the leader may lease now.
+func (l *leader) availableConcurrencyUnits(a *account, hasQuorum bool) int {
 	earliest := l.quorumSince + l.settings.withDrift(a.rule.ConcurrencyLeaseTerm+a.Window)
-	if !hasQuorum || l.now < earliest && l.fault != faultConcurrencyLeasesAtOnce {
+	if !hasQuorum || l.now < earliest && l.fault != faultNoConcurrencyTakeoverDelay {
 		return 0
 	}
-	s := l.shares(a)
-	return s.limit - s.allReserved - l.reserved(a.ID) - l.leasedConcurrency(a.ID)
+	limitShares := l.shares(a)
+	return limitShares.limit - limitShares.allReserved - l.outstandingUnits(a.ID) - l.leasedConcurrencyUnits(a.ID)
 }
 
-// renewConcurrencyLeases records what a member says to hold.
+// renewConcurrencyLeases records the units that a member reports as held, and renews their leases.
 func (l *leader) renewConcurrencyLeases(from int, request *LeaseRequest) {
 	for _, held := range request.ConcurrencyHeld {
 		a := l.account(held.ID)
@@ -214,22 +223,22 @@
 	}
 }
 
-// renewConcurrencyLease records a member's units. What it no longer holds was ended before it sent the request, and has
-// effect for a window more.
+// renewConcurrencyLease records the units that a member holds of one concurrency limit. Units that it no longer holds
+// were ended before it sent the request, and may have effect for one more window.
 func (l *leader) renewConcurrencyLease(key concurrencyLeaseKey, a *account, units int, acknowledged uint64) {
 	lease := l.concurrencyLeases[key]
 	if lease == nil {
 		lease = &concurrencyLease{}
 	}
-	before := lease.allUnits()
+	unitsBefore := lease.totalUnits()
 	lease.units = units
 	lease.pending = slices.DeleteFunc(lease.pending, func(p pendingLease) bool { return p.seq <= acknowledged })
-	if ended := before - lease.allUnits(); ended > 0 {
-		l.reserve(&leaderGrant{id: key.id, node: key.node, incarnation: key.incarnation, units: ended,
-			until: l.now + l.settings.withDrift(a.Window)})
+	if endedUnits := unitsBefore - lease.totalUnits(); endedUnits > 0 {
+		l.recordGrant(&leaderGrant{id: key.id, node: key.node, incarnation: key.incarnation, units: endedUnits,
+			effectUntil: l.now + l.settings.withDrift(a.Window)})
 	}
-	if lease.allUnits() > 0 {
-		lease.until = l.now + l.settings.withDrift(a.rule.ConcurrencyLeaseTerm+a.Window)
+	if lease.totalUnits() > 0 {
+		lease.effectUntil = l.now + l.settings.withDrift(a.rule.ConcurrencyLeaseTerm+a.Window)
 		l.concurrencyLeases[key] = lease
 	} else {
 		delete(l.concurrencyLeases, key)
@@ -238,7 +247,7 @@
 
 // leaseConcurrency leases units of a concurrency limit in the response to a request.
 func (l *leader) leaseConcurrency(from int, request *LeaseRequest, a *account, wanted int, hasQuorum bool) (units int) {
-	if units = min(wanted, maxWanted, l.concurrencyAvailable(a, hasQuorum)); units <= 0 {
+	if units = min(wanted, maxWantedUnits, l.availableConcurrencyUnits(a, hasQuorum)); units <= 0 {
 		return 0
 	}
 	key := concurrencyLeaseKey{a.ID, from, request.Incarnation}
@@ -248,6 +257,6 @@
 		l.concurrencyLeases[key] = lease
 	}
 	lease.pending = append(lease.pending, pendingLease{request.Seq, units})
-	lease.until = l.now + l.settings.withDrift(a.rule.ConcurrencyLeaseTerm+a.Window)
+	lease.effectUntil = l.now + l.settings.withDrift(a.rule.ConcurrencyLeaseTerm+a.Window)
 	return units
 }
--- a/budget/follower.go
+++ b/budget/follower.go
@@ -6,106 +6,108 @@
 	"time"
 )
 
-// follower is the role of a member that asks: it chooses a leader, delegates to it and requests units.
+// follower is the role of a member that chooses a leader, delegates reservations to it and requests units from it.
 type follower struct {
 	*base
-	self *leader // of the same member, which it may follow
+	ownLeader *leader // leader role of the same member, which may follow itself
 
-	preference    []int                 // indexes of possible leaders, the preferred one first
-	contacts      map[int]leaderContact // by index
-	leaderIndex   int                   // of the leader that is followed, -1 for none
-	boundTo       uint64                // incarnation that delegations go to
-	boundUntil    time.Duration         // until then they may go to no other
-	nextHeartbeat time.Duration
-	pings         int // since the leader changed, and heartbeats below parents: whom to ping next
-	missed        int // heartbeats without a parent that responds
-	seq           uint64
-	acknowledged  uint64 // the latest response
-	pending       map[uint64]pendingRequest
-	wanted        map[ID]bool   // budgets with a Request that is not answered
-	fullRequestTo uint64        // incarnation that the latest full request went to
-	wantsOnly     bool          // between heartbeats a request names wants and releases alone
-	nextWantsOnly time.Duration // no such request before
+	preference           []int                 // indexes of possible leaders, the preferred one first
+	contacts             map[int]leaderContact // contacts with possible leaders, by index
+	leaderIndex          int                   // index of the leader that the member follows, -1 for none
+	delegatedTo          uint64                // incarnation of the leader that the member has delegated to
+	delegatedUntil       time.Duration         // until then the member delegates to no other leader
+	nextHeartbeat        time.Duration
+	pingCount            int // pings since the leader changed, plus heartbeats below Parents; selects the recipient
+	missedHeartbeats     int // heartbeats without a responsive Parent
+	lastSeq              uint64
+	lastResponseSeq      uint64 // Seq of the latest response
+	pending              map[uint64]pendingRequest
+	unansweredRequests   map[ID]bool   // budgets with an unanswered call of Request
+	fullRequestTo        uint64        // incarnation that the latest full request was sent to
+	sendsPartialRequests bool          // requests between heartbeats contain only Wanted and Releases
+	nextPartialRequest   time.Duration // earliest time of the next partial request
 }
 
-// pendingRequest is one whose response has not come.
+// pendingRequest is a request whose response has not arrived.
 type pendingRequest struct {
-	at              time.Duration
+	sentAt          time.Duration
 	to              int
 	concurrencyHeld []Amount
 }
 
-func newFollower(b *base, self *leader) follower {
-	f := follower{base: b, self: self, contacts: map[int]leaderContact{}, leaderIndex: -1, boundUntil: b.recoveredAt,
-		pending: map[uint64]pendingRequest{}, wanted: map[ID]bool{}}
+func newFollower(b *base, ownLeader *leader) follower {
+	f := follower{base: b, ownLeader: ownLeader, contacts: map[int]leaderContact{}, leaderIndex: -1,
+		delegatedUntil: b.recoveredAt, pending: map[uint64]pendingRequest{}, unansweredRequests: map[ID]bool{}}
 	if b.settings.Parents > 0 {
-		f.wantsOnly = true
-		f.preference = countUp(b.settings.Parents)
+		f.sendsPartialRequests = true
+		f.preference = indexes(b.settings.Parents)
 		return f
 	}
-	f.preference = countUp(b.settings.Nodes)
+	f.preference = indexes(b.settings.Nodes)
 	slices.SortFunc(f.preference, compareLeaders)
 	return f
 }
 
-// hasParents tells that possible leaders are Parents, not members of the group.
+// hasParents reports whether the possible leaders are Parents instead of members of the group.
 func (f *follower) hasParents() bool { return f.settings.Parents > 0 }
 
-func countUp(n int) []int {
-	list := make([]int, n)
+// indexes returns the indexes from 0 to count-1.
+func indexes(count int) []int {
+	list := make([]int, count)
 	for i := range list {
 		list[i] = i
 	}
 	return list
 }
 
-// replaceParents forgets the parents by their indexes. What is known by incarnation stays: delegations bind until they
-// end, and grants expire with their term.
+// replaceParents removes all information that is kept by the index of a parent. Information kept by incarnation
+// remains: delegations stay in force until they expire, and grants until the end of their term.
 func (f *follower) replaceParents(parents int) {
 	f.settings.Parents = parents
-	f.preference = countUp(parents)
-	f.leaderIndex, f.missed, f.pings, f.nextHeartbeat = -1, 0, 0, f.now
+	f.preference = indexes(parents)
+	f.leaderIndex, f.missedHeartbeats, f.pingCount, f.nextHeartbeat = -1, 0, 0, f.now
 	clear(f.contacts)
 }
 
-// available is Member.Available. After a denial the leader is not asked again for a while.
+// available implements Member.Available. For a part of a heartbeat interval after a denial (see denialsPerHeartbeat) no
+// new request is sent, and the result is 0.
 func (f *follower) available(id ID) int {
 	a := f.account(id)
 	if a == nil {
 		return 0
 	}
-	if units := max(f.reservedLeft(a), 0) + a.leased() + a.concurrency.idle; units > 0 {
+	if units := max(f.availableReservation(a), 0) + a.unusedGranted() + a.concurrency.idle; units > 0 {
 		return units
 	}
 	wasDenied := a.deniedAt > 0 && f.now < a.deniedAt+f.settings.HeartbeatInterval/denialsPerHeartbeat
-	if !f.isResponsive(f.leaderIndex) || f.leaving || wasDenied {
+	if !f.isResponsive(f.leaderIndex) || f.isLeaving || wasDenied {
 		return 0
 	}
 	return Requestable
 }
 
-// request asks for units where none is available, and tells whether an answer will come.
+// request requests units if none is available, and reports whether a RequestAnswered will follow.
 func (f *follower) request(id ID, units int) bool {
 	available := f.available(id)
 	if a := f.accounts[id]; a != nil && available <= 0 {
 		for range units {
-			a.noteDemand(f.now, demandPerWanted*f.maxWanted)
+			a.recordDemand(f.now, demandHistoryFactor*f.maxWantedUnits)
 		}
 		f.counters.Denied += int64(units)
 		if available < 0 {
-			a.unsent += units
-			a.isWaiting = true
-			f.wanted[id] = true
+			a.unsentUnits += units
+			a.hasPendingRequest = true
+			f.unansweredRequests[id] = true
 		}
 	}
 	return available < 0
 }
 
-// hasUnsent tells whether a request is to be sent for what is wanted.
-func (f *follower) hasUnsent() bool {
+// hasUnsentRequests reports whether there is a leader and wanted units that no request has named yet.
+func (f *follower) hasUnsentRequests() bool {
 	if f.leaderIndex >= 0 {
-		for id := range f.wanted {
-			if f.accounts[id].unsent > 0 {
+		for id := range f.unansweredRequests {
+			if f.accounts[id].unsentUnits > 0 {
 				return true
 			}
 		}
@@ -113,25 +115,25 @@
 	return false
 }
 
-// tick sends what is due.
+// tick sends the heartbeat or the partial request that is due.
 func (f *follower) tick() {
-	if f.now >= f.nextHeartbeat || f.hasUnsent() && f.now >= f.nextWantsOnly {
+	if f.now >= f.nextHeartbeat || f.hasUnsentRequests() && f.now >= f.nextPartialRequest {
 		f.sendRequest()
 	}
 }
 
-// leaderHasQuorum tells whether more than half of the group follow the leader of this member.
+// leaderHasQuorum reports whether more than half of the group follows the leader of this member.
 func (f *follower) leaderHasQuorum() bool { return f.contacts[f.leaderIndex].hasQuorum }
 
-// due is when tick has something to send.
-func (f *follower) due() time.Duration {
-	if f.hasUnsent() {
-		return min(f.nextHeartbeat, f.nextWantsOnly)
+// nextSend returns the time at which tick has a message to send.
+func (f *follower) nextSend() time.Duration {
+	if f.hasUnsentRequests() {
+		return min(f.nextHeartbeat, f.nextPartialRequest)
 	}
 	return f.nextHeartbeat
 }
 
-// sendRequest sends the heartbeat if it is due, else a request for what is wanted.
+// sendRequest sends the heartbeat if it is due, and otherwise a request for the wanted units.
 func (f *follower) sendRequest() {
 	isHeartbeat := f.now >= f.nextHeartbeat
 	if isHeartbeat {
@@ -147,47 +149,49 @@
 		return
 	}
 	leader := f.contacts[f.leaderIndex]
-	if f.wantsOnly && !isHeartbeat && !f.leaving && f.fullRequestTo == leader.incarnation {
-		f.sendWants(leader)
+	if f.sendsPartialRequests && !isHeartbeat && !f.isLeaving && f.fullRequestTo == leader.incarnation {
+		f.sendPartialRequest(leader)
 	} else {
-		f.sendFull(leader)
+		f.sendFullRequest(leader)
 	}
 }
 
-// sendWants sends a request that leaves delegations as they are.
-func (f *follower) sendWants(leader leaderContact) {
-	request := LeaseRequest{LeaderClock: leader.clock, Acknowledged: f.acknowledged, ReleasesTo: leader.incarnation}
+// sendPartialRequest sends a request that contains Wanted and Releases, and leaves the delegations unchanged.
+func (f *follower) sendPartialRequest(leader leaderContact) {
+	request := LeaseRequest{LeaderClock: leader.leaderClock, Acknowledged: f.lastResponseSeq,
+		ReleasesTo: leader.incarnation}
 	if f.hasParents() {
-		f.nextWantsOnly = f.now + f.settings.HeartbeatInterval/requestsPerHeartbeat
+		f.nextPartialRequest = f.now + f.settings.HeartbeatInterval/requestsPerHeartbeat
 	}
 	f.addWanted(&request)
 	f.addReleases(&request, leader.incarnation)
 	f.send(f.leaderIndex, request)
 }
 
-// sendFull sends a request that renews delegations and concurrency leases. Delegations bind until after the leader
-// stops counting on them: it counts from when it sent the LeaderClock, which was before it came here.
-func (f *follower) sendFull(leader leaderContact) {
-	request := LeaseRequest{LeaderClock: leader.clock, Leaving: f.leaving, Acknowledged: f.acknowledged}
-	if !f.leaving { // else the units in use end in the next seconds, and their leases expire
+// sendFullRequest sends a request that renews delegations and concurrency leases. The delegations stay in force here
+// until after the leader stops counting on them: the leader's delegation term starts when it sent the LeaderClock, and
+// the longer recovery delay starts when the LeaderClock arrived here.
+func (f *follower) sendFullRequest(leader leaderContact) {
+	request := LeaseRequest{LeaderClock: leader.leaderClock, Leaving: f.isLeaving, Acknowledged: f.lastResponseSeq}
+	if !f.isLeaving { // if leaving, units in use end within seconds and their leases expire
 		request.ConcurrencyHeld = f.concurrencyHeld()
 	}
-	boundUntil := leader.at + f.settings.RecoveryDelay()
-	if f.mayDelegate(leader) && boundUntil > f.now {
+	delegatedUntil := leader.receivedAt + f.settings.RecoveryDelay()
+	if f.mayDelegate(leader) && delegatedUntil > f.now {
 		request.Leader = leader.incarnation
-		f.boundTo, f.boundUntil = leader.incarnation, max(f.boundUntil, boundUntil)
+		f.delegatedTo, f.delegatedUntil = leader.incarnation, max(f.delegatedUntil, delegatedUntil)
 	}
 	f.sweep()
-	inUse, maxNamed := f.delegatedInUse(), MaxEntries
-	if request.DelegatesUnlisted = request.Leader != 0 && inUse <= MaxEntries/2; request.DelegatesUnlisted {
-		maxNamed -= inUse
+	listed, maxListed := f.mustListCount(), MaxEntries
+	if request.DelegatesUnlisted = request.Leader != 0 && listed <= MaxEntries/2; request.DelegatesUnlisted {
+		maxListed -= listed
 	}
 	f.addWanted(&request)
-	f.addDelegated(&request, boundUntil, maxNamed)
+	f.addDelegated(&request, delegatedUntil, maxListed)
 	if request.DelegatesUnlisted {
-		f.restDelegatedUntil = max(f.restDelegatedUntil, boundUntil)
+		f.unlistedDelegatedUntil = max(f.unlistedDelegatedUntil, delegatedUntil)
 	}
-	if f.leaving {
+	if f.isLeaving {
 		f.releaseGrants()
 	}
 	f.fullRequestTo = leader.incarnation
@@ -197,93 +201,98 @@
 	f.send(f.leaderIndex, request)
 }
 
-// mayDelegate tells whether no other leader may count on the member, and the reservations are this incarnation's.
+// mayDelegate reports whether no other leader may count on delegations of the member, and the reservations belong to
+// this incarnation.
 func (f *follower) mayDelegate(leader leaderContact) bool {
-	isFree := f.now >= f.boundUntil || f.boundTo == leader.incarnation || f.fault == faultTwoLeaders
-	return isFree && f.now >= f.recoveredAt && f.now >= f.noReservationUntil
+	isUncommitted := f.now >= f.delegatedUntil || f.delegatedTo == leader.incarnation ||
+		f.fault == faultTwoLeadersFollowed
+	return isUncommitted && f.now >= f.recoveredAt && f.now >= f.noReservationUntil
 }
 
-// delegatedInUse counts the budgets of rules that a request would have to name to delegate the rest.
-func (f *follower) delegatedInUse() (count int) {
+// mustListCount returns the number of budgets of rules that a request has to list if it delegates the unlisted ones.
+func (f *follower) mustListCount() (count int) {
 	for _, a := range f.accounts {
-		if a.rule != nil && a.isDelegated() && !f.account(a.ID).isIdle() {
+		if a.rule != nil && a.allowsDelegation() && !f.account(a.ID).isIdle() {
 			count++
 		}
 	}
 	return count
 }
 
-// addDelegated delegates what the member has no use for, where the request says that it follows. Budgets of rules that
-// are idle are delegated without a name.
-func (f *follower) addDelegated(request *LeaseRequest, until time.Duration, maxNamed int) {
+// addDelegated adds the units that the member does not need, if the request delegates at all. Idle budgets of rules are
+// delegated without being listed.
+func (f *follower) addDelegated(request *LeaseRequest, until time.Duration, maxListed int) {
 	for _, id := range f.ids() {
 		a := f.account(id)
-		isFull := len(request.Delegated) >= maxNamed
+		isFull := len(request.Delegated) >= maxListed
 		if a.rule != nil {
 			isFull = !request.DelegatesUnlisted
 		}
-		if request.Leader == 0 || !a.isDelegated() || isFull {
+		if request.Leader == 0 || !a.allowsDelegation() || isFull {
 			continue
 		}
 		reserved := f.shares(a).reserved
 		if a.rule != nil && a.isIdle() {
 			a.delegate(reserved, until)
-		} else if units := f.unneeded(a, reserved); units > 0 || a.rule != nil {
+		} else if units := f.unneededReservation(a, reserved); units > 0 || a.rule != nil {
 			request.Delegated = append(request.Delegated, Amount{ID: id, Units: max(units, 0)})
 			a.delegate(max(units, 0), until)
 		}
 	}
 }
 
-// unneeded is what of a reservation is neither in use nor, by recent demand, will be.
-func (f *follower) unneeded(a *account, reserved int) int {
+// unneededReservation returns the part of a reservation that is neither in use nor, according to the recent demand,
+// needed soon.
+func (f *follower) unneededReservation(a *account, reserved int) int {
 	switch {
-	case f.fault == faultUsedDelegated:
+	case f.fault == faultUsedUnitsDelegated:
 		return reserved
-	case f.leaving:
-		return reserved - len(a.spent)
+	case f.isLeaving:
+		return reserved - len(a.reservationUses)
 	}
-	return reserved - max(len(a.spent), len(a.demand))
+	return reserved - max(len(a.reservationUses), len(a.recentDemand))
 }
 
-// releaseGrants gives up all grants.
+// releaseGrants releases all grants.
 func (f *follower) releaseGrants() {
 	for _, id := range f.ids() {
 		a := f.accounts[id]
 		for i := range a.grants {
-			f.released = append(f.released, a.grants[i].release())
+			f.pendingReleases = append(f.pendingReleases, a.grants[i].release())
 		}
 		a.grants = nil
 	}
 }
 
-// addWanted adds what is wanted, as far as there is room.
+// addWanted adds the wanted units of at most MaxEntries budgets.
 func (f *follower) addWanted(request *LeaseRequest) {
-	for _, id := range slices.SortedFunc(maps.Keys(f.wanted), ID.Compare) {
-		if a := f.account(id); a.unsent > 0 && len(request.Wanted) < MaxEntries {
-			request.Wanted = append(request.Wanted, Amount{ID: id, Units: min(a.unsent, f.maxWanted)})
-			a.unsent, a.requestSeq = 0, f.seq+1
+	for _, id := range slices.SortedFunc(maps.Keys(f.unansweredRequests), ID.Compare) {
+		if a := f.account(id); a.unsentUnits > 0 && len(request.Wanted) < MaxEntries {
+			request.Wanted = append(request.Wanted, Amount{ID: id, Units: min(a.unsentUnits, f.maxWantedUnits)})
+			a.unsentUnits, a.lastRequestSeq = 0, f.lastSeq+1
 		}
 	}
 }
 
-// addReleases adds releases of the leader's grants, as far as there is room. Those of other leaders are dropped: grants
-// are numbered by each leader, which would take them for its own.
+// addReleases adds at most MaxEntries releases of the leader's grants. It drops the releases of other leaders' grants:
+// each leader numbers its own grants, so a leader would mistake them for releases of its own.
 func (f *follower) addReleases(request *LeaseRequest, leader uint64) {
-	f.released = slices.DeleteFunc(f.released, func(r releasedGrant) bool { return r.grantor != leader })
-	count := min(len(f.released), MaxEntries)
-	for _, r := range f.released[:count] {
-		r.SinceUse = int64(f.now) - r.SinceUse
-		request.Releases = append(request.Releases, r.Release)
-	}
-	f.released = f.released[count:]
+	f.pendingReleases = slices.DeleteFunc(f.pendingReleases, func(release pendingRelease) bool {
+		return release.grantor != leader
+	})
+	count := min(len(f.pendingReleases), MaxEntries)
+	for _, release := range f.pendingReleases[:count] {
+		release.SinceUse = int64(f.now) - release.SinceUse
+		request.Releases = append(request.Releases, release.Release)
+	}
+	f.pendingReleases = f.pendingReleases[count:]
 }
 
 func (f *follower) send(to int, request LeaseRequest) {
-	f.seq++
-	request.Seq, request.Incarnation = f.seq, f.incarnation
-	f.pending[f.seq] = pendingRequest{f.now, to, request.ConcurrencyHeld}
-	delete(f.pending, f.seq-maxPendingRequests)
+	f.lastSeq++
+	request.Seq, request.Incarnation = f.lastSeq, f.incarnation
+	f.pending[f.lastSeq] = pendingRequest{f.now, to, request.ConcurrencyHeld}
+	delete(f.pending, f.lastSeq-maxPendingRequests)
 	if f.isSelf(to) {
 		f.requestFromSelf(&request)
 		return
@@ -292,17 +301,17 @@
 	f.actions = append(f.actions, SendRequest{To: to, Request: request})
 }
 
-// requestFromSelf has the member's own leader answer at once.
+// requestFromSelf passes a request to the leader role of the same member, and handles the response.
 func (f *follower) requestFromSelf(request *LeaseRequest) {
-	if f.leaving {
+	if f.isLeaving {
 		return
 	}
-	if response, ok := f.self.handleRequest(f.settings.Index, request); ok {
+	if response, ok := f.ownLeader.handleRequest(f.settings.Index, request); ok {
 		f.handleResponse(f.settings.Index, &response)
 	}
 }
 
-// handleResponse takes in a response, and with it the grants of its leader.
+// handleResponse handles a response and accepts its grants.
 func (f *follower) handleResponse(from int, response *LeaseResponse) {
 	if response.Leaving && response.Follower == f.incarnation {
 		f.handleLeaderLeaving(from, response)
@@ -313,103 +322,108 @@
 		f.counters.Stale++
 		return
 	}
-	if f.fault != faultRepeatsAccepted {
+	if f.fault != faultRepeatedResponsesAccepted {
 		delete(f.pending, response.Seq)
 	}
-	before := f.contacts[from]
+	previous := f.contacts[from]
 	f.updateContact(from, response)
 	if response.DuplicateIndex {
 		f.counters.DuplicateIndexes++
 		f.noReservationUntil = max(f.noReservationUntil, f.now+f.settings.RecoveryDelay())
 	}
-	isFirst := f.leaderIndex < 0
-	if isFirst {
+	hadNoLeader := f.leaderIndex < 0
+	if hadNoLeader {
 		f.chooseLeader()
 	}
-	f.acceptGrants(request, response, before)
+	f.acceptGrants(request, response, previous)
 	if from == f.leaderIndex {
-		f.answerRequests(response.Seq)
+		f.reportAnswered(response.Seq)
 	}
-	if isFirst && f.hasParents() && f.leaderIndex >= 0 { // what is wanted need not wait for the next heartbeat
+	if hadNoLeader && f.hasParents() && f.leaderIndex >= 0 { // request wanted units before the next heartbeat
 		f.nextHeartbeat = f.now
 		f.sendRequest()
 	}
 }
 
-// acceptGrants takes in the grants of a response. Their term runs from the request, which was before the grant.
-func (f *follower) acceptGrants(request pendingRequest, response *LeaseResponse, before leaderContact) {
-	isLatest := response.Seq > f.acknowledged
-	f.renewConcurrencyHeld(request, response.RenewsConcurrencyLeases, isLatest)
-	for _, g := range response.Grants {
-		// The leader was told by a later request that an earlier response did not come.
-		isAccepted := isLatest || f.fault == faultLateConcurrencyGrants
-		if a := f.accounts[g.ID]; a != nil && a.isConcurrencyLimit() && isAccepted {
-			f.acceptConcurrencyLease(a, request.at, g.Units)
+// acceptGrants accepts the grants of a response. Their lease term starts when the request was sent, which is before the
+// leader granted them.
+func (f *follower) acceptGrants(request pendingRequest, response *LeaseResponse, previous leaderContact) {
+	isLatest := response.Seq > f.lastResponseSeq
+	f.recordConcurrencyRenewal(request, response.RenewsConcurrencyLeases, isLatest)
+	for _, grant := range response.Grants {
+		// If this is not the latest response, a later request may have reported to the leader that it did not
+		// arrive.
+		isAccepted := isLatest || f.fault == faultLateConcurrencyGrantsAccepted
+		if a := f.accounts[grant.ID]; a != nil && a.isConcurrencyLimit() && isAccepted {
+			f.acceptConcurrencyLease(a, request.sentAt, grant.Units)
 		}
 	}
-	f.acknowledged = max(f.acknowledged, response.Seq)
-	end := f.grantEnd(request, response, before)
-	for _, g := range response.Grants {
-		a := f.accounts[g.ID]
+	f.lastResponseSeq = max(f.lastResponseSeq, response.Seq)
+	expiry := f.grantExpiry(request, response, previous)
+	for _, grant := range response.Grants {
+		a := f.accounts[grant.ID]
 		if a != nil && a.isConcurrencyLimit() {
 			continue
 		}
-		if a == nil || g.Units <= 0 || end <= f.now {
-			f.released = append(f.released, releasedGrant{Release{Grant: g.Number}, response.Incarnation})
+		if a == nil || grant.Units <= 0 || expiry <= f.now {
+			f.pendingReleases = append(f.pendingReleases, pendingRelease{Release{Grant: grant.Number},
+				response.Incarnation})
 			continue
 		}
 		a.deniedAt = 0
 		a.grants = append(a.grants,
-			heldGrant{grantor: response.Incarnation, number: g.Number, units: g.Units, until: end})
+			heldGrant{grantor: response.Incarnation, number: grant.Number, units: grant.Units, until: expiry})
 	}
 }
 
-// grantEnd is when the grants of a response expire.
-func (f *follower) grantEnd(request pendingRequest, response *LeaseResponse, before leaderContact) time.Duration {
-	begin := request.at
+// grantExpiry returns the time at which the grants of a response expire.
+func (f *follower) grantExpiry(request pendingRequest, response *LeaseResponse, previous leaderContact) time.Duration {
+	termStart := request.sentAt
 	switch {
 	case f.fault == faultTermFromResponse:
-		begin = f.now
-	case f.fault == faultTermFromLeaderSend && before.incarnation == response.Incarnation:
-		begin = before.at + response.LeaderClock - before.clock
+		termStart = f.now
+	case f.fault == faultTermFromLeaderSend && previous.incarnation == response.Incarnation:
+		termStart = previous.receivedAt + response.LeaderClock - previous.leaderClock
 	case f.fault == faultTermByLeaderClock:
-		begin = response.LeaderClock
+		termStart = response.LeaderClock
 	}
-	return begin + f.settings.LeaseTerm
+	return termStart + f.settings.LeaseTerm
 }
 
-// answerRequests says which of the wanted budgets were named in a request up to that of the response.
-func (f *follower) answerRequests(seq uint64) {
-	for _, id := range slices.SortedFunc(maps.Keys(f.wanted), ID.Compare) {
+// reportAnswered reports as answered the wanted budgets whose units were all named in requests up to Seq seq, the one
+// of the response.
+func (f *follower) reportAnswered(seq uint64) {
+	for _, id := range slices.SortedFunc(maps.Keys(f.unansweredRequests), ID.Compare) {
 		a := f.accounts[id]
-		if a.unsent > 0 || seq < a.requestSeq {
+		if a.unsentUnits > 0 || seq < a.lastRequestSeq {
 			continue
 		}
-		delete(f.wanted, id)
-		if a.isWaiting = false; a.leased()+a.concurrency.idle == 0 {
+		delete(f.unansweredRequests, id)
+		if a.hasPendingRequest = false; a.unusedGranted()+a.concurrency.idle == 0 {
 			a.deniedAt = f.now
 		}
 		f.actions = append(f.actions, RequestAnswered{id})
 	}
 }
 
-// handleLeaderLeaving ends what binds to a leader when the effect of its grants has ended, and looks for another.
+// handleLeaderLeaving shortens the delegations to a leaving leader to the time until its grants have no more effect,
+// and schedules the choice of another leader.
 func (f *follower) handleLeaderLeaving(from int, response *LeaseResponse) {
 	if f.contacts[from].incarnation != response.Incarnation {
 		return
 	}
 	delete(f.contacts, from)
-	until := f.now + f.settings.withDrift(max(response.GrantsExpireIn, 0))
-	if f.boundTo == response.Incarnation {
-		f.boundUntil = min(f.boundUntil, until)
+	effectEnd := f.now + f.settings.withDrift(max(response.GrantsExpireIn, 0))
+	if f.delegatedTo == response.Incarnation {
+		f.delegatedUntil = min(f.delegatedUntil, effectEnd)
 		for _, a := range f.accounts {
 			for i := range a.delegations {
-				a.delegations[i].until = min(a.delegations[i].until, until)
+				a.delegations[i].until = min(a.delegations[i].until, effectEnd)
 			}
 		}
 	}
 	f.nextHeartbeat = f.now
-	if f.hasParents() { // not all children at once
+	if f.hasParents() { // spread the children over half a heartbeat interval
 		const slots = 16
 		f.nextHeartbeat += f.settings.HeartbeatInterval / 2 * time.Duration(f.settings.Index%slots) / slots
 	}
--- a/budget/leader.go
+++ b/budget/leader.go
@@ -7,42 +7,43 @@
 	"time"
 )
 
-// leader is the role of a member that grants. It counts on a delegation for less time than it binds its giver.
+// leader is the role of a member that grants units. It counts on a delegation for a shorter time than the follower that
+// has delegated refrains from using it.
 type leader struct {
 	*base
-	followers         map[int]*followerRecord // by index
-	commitments       []commitment            // of the followers, by their ends
-	lapsing           int                     // so many commitments end before the effect of a grant of now
-	restDelegators    indexCounter            // followers that are counted and delegate the rest
-	grants            grantHeap
-	grantsByNumber    map[uint64]*leaderGrant
-	pools             map[ID]*pool
-	lastGrant         uint64 // its number
-	concurrencyLeases map[concurrencyLeaseKey]*concurrencyLease
-	quorumSince       time.Duration // more than half have followed without a break from then,
-	quorumUntil       time.Duration // until then
+	followers          map[int]*followerRecord // by index
+	expiries           []delegationExpiry      // of the followers' delegations, ordered by time
+	expiringSoonCount  int                     // number of expiries before the last effect of a grant made now
+	unlistedDelegators indexCounter            // counted followers that delegate unlisted budgets
+	grants             grantHeap
+	grantsByNumber     map[uint64]*leaderGrant
+	totals             map[ID]*budgetTotals
+	lastGrantNumber    uint64 // Number of the latest grant
+	concurrencyLeases  map[concurrencyLeaseKey]*concurrencyLease
+	quorumSince        time.Duration // start of the uninterrupted time in which more than half follow
+	quorumUntil        time.Duration // end of that time
 }
 
-// followerRecord is what a leader knows of a member.
+// followerRecord holds the leader's information about a member.
 type followerRecord struct {
-	incarnation   uint64
-	rival         uint64 // another incarnation with its index
-	isDuplicate   bool   // both were heard since
-	seq           uint64 // of its latest request
-	until         time.Duration
-	delegated     map[ID]int // units by name
-	delegatesRest bool
-	counted       bool // delegated and delegatesRest are in the leader's sums
+	incarnation       uint64
+	otherIncarnation  uint64 // latest other incarnation that has sent requests with the same index
+	isDuplicate       bool   // a request of incarnation has arrived after one of otherIncarnation
+	seq               uint64 // Seq of its latest request
+	delegatedUntil    time.Duration
+	delegated         map[ID]int // units of the listed budgets
+	delegatesUnlisted bool
+	isCounted         bool // the delegations are included in the leader's totals
 }
 
 func newLeader(b *base) leader {
 	return leader{base: b, followers: map[int]*followerRecord{}, grantsByNumber: map[uint64]*leaderGrant{},
-		pools: map[ID]*pool{}, concurrencyLeases: map[concurrencyLeaseKey]*concurrencyLease{}}
+		totals: map[ID]*budgetTotals{}, concurrencyLeases: map[concurrencyLeaseKey]*concurrencyLease{}}
 }
 
-// handleRequest takes in a request and gives the response, unless there is none.
+// handleRequest handles a request and returns the response; ok is false if there is none.
 func (l *leader) handleRequest(from int, request *LeaseRequest) (response LeaseResponse, ok bool) {
-	response, isCurrent, ok := l.accept(from, request)
+	response, isCurrent, ok := l.acceptRequest(from, request)
 	if !ok || request.Leaving {
 		return response, ok
 	}
@@ -58,7 +59,7 @@
 			}
 			continue
 		}
-		if units := min(wanted.Units, l.maxWanted, l.available(wanted.ID, hasQuorum)); units > 0 {
+		if units := min(wanted.Units, l.maxWantedUnits, l.available(wanted.ID, hasQuorum)); units > 0 {
 			number := l.grant(from, request.Incarnation, wanted.ID, units)
 			response.Grants = append(response.Grants, Grant{ID: wanted.ID, Units: units, Number: number})
 		}
@@ -67,119 +68,123 @@
 	return response, true
 }
 
-// accept records what a request says of its sender, and gives the response without grants; isCurrent tells that the
-// sender is the incarnation that counts as the node. A request that is late or repeated has no response.
-func (l *leader) accept(from int, request *LeaseRequest) (response LeaseResponse, isCurrent, ok bool) {
+// acceptRequest records the delegations and releases of a request, and returns the response without grants. isCurrent
+// reports whether the sender is the incarnation that the leader accepts for the node. A late or duplicated request has
+// no response; ok is then false.
+func (l *leader) acceptRequest(from int, request *LeaseRequest) (response LeaseResponse, isCurrent, ok bool) {
 	l.expire()
-	f := l.followers[from]
-	if f == nil || f.incarnation != request.Incarnation && l.now >= f.until {
-		f = &followerRecord{incarnation: request.Incarnation}
-		l.followers[from] = f
+	record := l.followers[from]
+	if record == nil || record.incarnation != request.Incarnation && l.now >= record.delegatedUntil {
+		record = &followerRecord{incarnation: request.Incarnation}
+		l.followers[from] = record
 	}
-	isDuplicate := f.identify(request)
-	isCurrent = f.incarnation == request.Incarnation
-	if isCurrent && request.Seq <= f.seq { // what it says has been said anew
+	isDuplicate := record.detectDuplicate(request)
+	isCurrent = record.incarnation == request.Incarnation
+	if isCurrent && request.Seq <= record.seq { // a later request has replaced its content
 		return response, true, false
 	} else if isCurrent {
-		f.seq = request.Seq
-		l.acceptDelegation(from, f, request)
+		record.seq = request.Seq
+		l.acceptDelegation(from, record, request)
 	}
 	if cmp.Or(request.Leader, request.ReleasesTo) == l.incarnation {
-		for _, r := range request.Releases {
-			l.release(from, request.Incarnation, r)
+		for _, release := range request.Releases {
+			l.release(from, request.Incarnation, release)
 		}
 	}
 	return LeaseResponse{Incarnation: l.incarnation, Seq: request.Seq, LeaderClock: l.now,
 		Follower: request.Incarnation, DuplicateIndex: isDuplicate}, isCurrent, true
 }
 
-// identify tells whether a request is of a second process with the same index, each of which would use the node's
-// reservation. An incarnation that follows has waited until all of the one before it has ended, so it finds no other
-// that follows.
-func (f *followerRecord) identify(request *LeaseRequest) (isDuplicate bool) {
-	if f.incarnation == request.Incarnation {
-		f.isDuplicate = f.isDuplicate || f.rival != 0
+// detectDuplicate reports whether a request is from a second process with the same index; both processes would use the
+// node's reservation. An incarnation delegates only after everything of an earlier incarnation has expired, so a
+// delegation from another incarnation while the delegations of the recorded one are in force comes from a duplicate.
+func (r *followerRecord) detectDuplicate(request *LeaseRequest) (isDuplicate bool) {
+	if r.incarnation == request.Incarnation {
+		r.isDuplicate = r.isDuplicate || r.otherIncarnation != 0
 		return false
 	}
-	f.rival, f.isDuplicate = request.Incarnation, f.isDuplicate && f.rival == request.Incarnation
-	return f.isDuplicate || request.Leader != 0
+	r.otherIncarnation, r.isDuplicate = request.Incarnation, r.isDuplicate && r.otherIncarnation == request.Incarnation
+	return r.isDuplicate || request.Leader != 0
 }
 
-// acceptDelegation replaces what a follower has delegated, where the request says that it follows this incarnation.
-func (l *leader) acceptDelegation(from int, f *followerRecord, request *LeaseRequest) {
-	until := request.LeaderClock + l.settings.leaderHoldTime()
+// acceptDelegation replaces the delegations of a follower if the request delegates to this incarnation of the leader
+// and the delegation term has not expired.
+func (l *leader) acceptDelegation(from int, record *followerRecord, request *LeaseRequest) {
+	until := request.LeaderClock + l.settings.delegationTerm()
 	if request.Leader != l.incarnation || until <= l.now {
 		return
 	}
-	l.removeCommitment(from, f)
-	f.until, f.delegated, f.delegatesRest = until, map[ID]int{}, request.DelegatesUnlisted
+	l.removeDelegation(from, record)
+	record.delegatedUntil, record.delegated, record.delegatesUnlisted = until, map[ID]int{}, request.DelegatesUnlisted
 	for _, d := range request.Delegated {
-		f.delegated[d.ID] = max(d.Units, 0)
+		record.delegated[d.ID] = max(d.Units, 0)
 	}
-	l.addCommitment(from, f)
+	l.addDelegation(from, record)
 }
 
-// grant reserves units for an incarnation of a node, and gives the number of the grant.
+// grant records a grant of units to an incarnation of a node, and returns the number of the grant.
 func (l *leader) grant(to int, incarnation uint64, id ID, units int) uint64 {
-	l.lastGrant++
+	l.lastGrantNumber++
 	l.counters.Granted += int64(units)
 	if units > 0 {
-		l.reserve(&leaderGrant{number: l.lastGrant, id: id, node: to, incarnation: incarnation, units: units,
-			until: l.now + l.settings.effectSpan(l.accounts[id].Window)})
+		l.recordGrant(&leaderGrant{number: l.lastGrantNumber, id: id, node: to, incarnation: incarnation, units: units,
+			effectUntil: l.now + l.settings.effectDuration(l.accounts[id].Window)})
 	}
-	return l.lastGrant
+	return l.lastGrantNumber
 }
 
-// hasQuorum tells whether more than half follow until after the effect of a grant of now. It notes since when more than
-// half have followed without a break: until it breaks no other member has a quorum.
+// hasQuorum reports whether more than half of the group follows until after the last effect of a grant made now. It
+// also records the uninterrupted time in which more than half have followed; during this time no other member has a
+// quorum.
 func (l *leader) hasQuorum() bool {
 	l.expire()
-	last := len(l.commitments) - 1 - l.settings.Nodes/2
-	if last < 0 {
+	majorityIndex := len(l.expiries) - 1 - l.settings.Nodes/2
+	if majorityIndex < 0 {
 		l.quorumUntil = min(l.quorumUntil, l.now)
 		return false
 	}
-	until := l.commitments[last].until
-	lasts := until >= l.now+l.settings.effectHorizon()
+	until := l.expiries[majorityIndex].until
+	isLasting := until >= l.now+l.settings.maxEffectDuration()
 	if l.now >= l.quorumUntil {
-		if !lasts {
+		if !isLasting {
 			return false
 		}
 		l.quorumSince = l.now
 	}
 	l.quorumUntil = until
-	return lasts
+	return isLasting
 }
 
-// setRule defines the budgets of a kind. The reservations of followers may be others by it.
+// setRule defines the budgets of a kind. It recalculates the totals, since the rule may change the reservations of
+// followers.
 func (l *leader) setRule(kind uint8, rule Rule) {
-	for node, f := range l.followers {
-		if f.counted {
-			l.count(node, f, -1)
-			defer l.count(node, f, 1)
+	for node, record := range l.followers {
+		if record.isCounted {
+			l.adjustTotals(node, record, -1)
+			defer l.adjustTotals(node, record, 1)
 		}
 	}
 	l.rules[kind] = rule
-	l.hasConcurrency = l.hasConcurrency || rule.isConcurrencyLimit()
+	l.hasConcurrencyLimits = l.hasConcurrencyLimits || rule.isConcurrencyLimit()
 }
 
-// followerCount is the number of members whose delegation has not ended.
+// followerCount returns the number of members whose delegations have not expired.
 func (l *leader) followerCount() int {
 	l.expire()
-	return len(l.commitments)
+	return len(l.expiries)
 }
 
-// leavingResponses tells the followers but one that this leader grants no more, and how long its grants may have
-// effect.
-func (l *leader) leavingResponses(except int) (responses []SendResponse) {
-	last := l.now
+// leavingResponses returns the responses that inform all followers except one that this leader grants no more units,
+// and how long its grants may have effect.
+func (l *leader) leavingResponses(exceptIndex int) (responses []SendResponse) {
+	lastEffect := l.now
 	for _, g := range l.grants {
-		last = max(last, g.until)
+		lastEffect = max(lastEffect, g.effectUntil)
 	}
 	for _, node := range slices.Sorted(maps.Keys(l.followers)) {
-		if f := l.followers[node]; node != except && l.now < f.until {
+		if record := l.followers[node]; node != exceptIndex && l.now < record.delegatedUntil {
 			responses = append(responses, SendResponse{To: node, Response: LeaseResponse{Incarnation: l.incarnation,
-				Follower: f.incarnation, GrantsExpireIn: last - l.now, Leaving: true}})
+				Follower: record.incarnation, GrantsExpireIn: lastEffect - l.now, Leaving: true}})
 		}
 	}
 	return responses
--- a/budget/leader_test.go
+++ b/budget/leader_test.go
@@ -22,7 +22,7 @@
 	}
 	alive := 0
 	for _, f := range l.followers {
-		if f.until > l.now {
+		if f.delegatedUntil > l.now {
 			alive++
 		}
 	}
@@ -35,17 +35,17 @@
 	got := l.available(a.ID, false)
 	sum, reserved := 0, 0
 	for i, f := range l.followers {
-		if f.until < l.now+l.settings.effectHorizon() {
+		if f.delegatedUntil < l.now+l.settings.maxEffectDuration() {
 			continue
 		}
 		units, isNamed := f.delegated[a.ID]
-		if f.delegatesRest && !isNamed && a.rule != nil && a.isDelegated() {
+		if f.delegatesUnlisted && !isNamed && a.rule != nil && a.allowsDelegation() {
 			units = l.sharesOf(i, a).reserved
 		}
 		sum += units
 	}
 	for _, g := range l.grants {
-		if g.id == a.ID && g.until > l.now {
+		if g.id == a.ID && g.effectUntil > l.now {
 			reserved += g.units
 		}
 	}
@@ -119,7 +119,7 @@
 // lastingFollowers counts those that follow until after the effect of a grant of now.
 func lastingFollowers(l *leader) (count int) {
 	for _, f := range l.followers {
-		if f.until >= l.now+l.settings.effectHorizon() {
+		if f.delegatedUntil >= l.now+l.settings.maxEffectDuration() {
 			count++
 		}
 	}
@@ -141,7 +141,7 @@
 	}{{100, 3}, {300, 0}} {
 		m.HandleMessage(m.now, 1, LeaseRequest{Incarnation: 7, Seq: uint64(1 + seq), ReleasesTo: c.to,
 			Releases: []Release{{Grant: number}}})
-		if got := m.leader.reserved(id); got != c.left {
+		if got := m.leader.outstandingUnits(id); got != c.left {
 			t.Errorf("released to %d: %d reserved", c.to, got)
 		}
 	}
--- a/budget/ledger.go
+++ b/budget/ledger.go
@@ -7,38 +7,39 @@
 	"time"
 )
 
-// The leader's sums are kept up to date with each request, so that a request costs the same however many members
-// follow: units by budget, commitments in the order of their ends, and grants in the order in which their effect ends.
+// The leader updates its totals with each request, so that the cost of a request does not depend on the number of
+// followers. It keeps the units of each budget, the expiries of delegations in order, and the grants ordered by the end
+// of their effect.
 
-// leaderGrant is a number of units that are granted, or were used, and may have effect until then.
+// leaderGrant is a number of units that are granted, or were used, and may have effect until effectUntil.
 type leaderGrant struct {
-	number      uint64 // 0 for concurrency leases that have ended
+	number      uint64 // 0 for ended units of concurrency leases
 	id          ID
 	node        int
 	incarnation uint64 // of the node
 	units       int
-	until       time.Duration
-	index       int // in the grantHeap
+	effectUntil time.Duration
+	heapIndex   int // index in the grantHeap
 }
 
-// grantHeap orders grants by the end of their effect; it is a container/heap.
+// grantHeap orders grants by the end of their effect. It implements heap.Interface.
 type grantHeap []*leaderGrant
 
 func (h grantHeap) Len() int           { return len(h) }
-func (h grantHeap) Less(i, j int) bool { return h[i].until < h[j].until }
+func (h grantHeap) Less(i, j int) bool { return h[i].effectUntil < h[j].effectUntil }
 func (h grantHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].index, h[j].index = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
-// Push is part of heap.Interface.
+// Push implements heap.Interface.
 func (h *grantHeap) Push(x any) {
 	g := x.(*leaderGrant)
-	g.index = len(*h)
+	g.heapIndex = len(*h)
 	*h = append(*h, g)
 }
 
-// Pop is part of heap.Interface.
+// Pop implements heap.Interface.
 func (h *grantHeap) Pop() any {
 	last := len(*h) - 1
 	g := (*h)[last]
@@ -47,7 +48,7 @@
 	return g
 }
 
-// indexCounter counts members of a set by index: a Fenwick tree.
+// indexCounter is a Fenwick tree that counts the members of a set by index.
 type indexCounter []int32
 
 func (c indexCounter) add(node int, n int32) {
@@ -56,7 +57,7 @@
 	}
 }
 
-// below counts those with an index less than node.
+// below returns the number of members with an index less than node.
 func (c indexCounter) below(node int) (n int) {
 	for i := node; i > 0; i -= i & -i {
 		n += int(c[i])
@@ -64,65 +65,65 @@
 	return n
 }
 
-// pool is a leader's sums of one budget, but for what is delegated without being named.
-type pool struct {
-	reserved  int // granted, and may have effect
-	delegated int // by name
-	named     int // reservations of members that delegate the rest, but name this budget
+// budgetTotals holds a leader's totals of one budget, except for units delegated without listing the budget.
+type budgetTotals struct {
+	outstanding        int // granted units that may have effect
+	delegated          int // units delegated by requests that list the budget
+	listedReservations int // reservations of members that delegate unlisted budgets, but list this one
 }
 
-func (l *leader) pool(id ID) *pool {
-	p := l.pools[id]
-	if p == nil {
-		p = &pool{}
-		l.pools[id] = p
+func (l *leader) totalsOf(id ID) *budgetTotals {
+	totals := l.totals[id]
+	if totals == nil {
+		totals = &budgetTotals{}
+		l.totals[id] = totals
 	}
-	return p
+	return totals
 }
 
-func (l *leader) dropEmptyPool(id ID) {
-	if p := l.pools[id]; p != nil && *p == (pool{}) {
-		delete(l.pools, id)
+func (l *leader) dropEmptyTotals(id ID) {
+	if totals := l.totals[id]; totals != nil && *totals == (budgetTotals{}) {
+		delete(l.totals, id)
 	}
 }
 
-// reserve takes units out of what may be granted until their effect ends.
-func (l *leader) reserve(g *leaderGrant) {
+// recordGrant records a grant. Its units are not available again until the end of their effect.
+func (l *leader) recordGrant(g *leaderGrant) {
 	heap.Push(&l.grants, g)
 	if g.number != 0 {
 		l.grantsByNumber[g.number] = g
 	}
-	l.pool(g.id).reserved += g.units
+	l.totalsOf(g.id).outstanding += g.units
 }
 
-// release takes in what became of a grant. What was used has effect for a window from its last use on; SinceUse is a
-// lower bound of the time since then, as the message was sent earlier.
-func (l *leader) release(from int, incarnation uint64, r Release) {
-	g := l.grantsByNumber[r.Grant]
+// release records the end of a grant. Its used units have effect for a window after the last use. SinceUse is a lower
+// bound of the time since that use, because the message was sent earlier.
+func (l *leader) release(from int, incarnation uint64, release Release) {
+	g := l.grantsByNumber[release.Grant]
 	if g == nil || g.node != from || g.incarnation != incarnation {
 		return
 	}
-	used := min(max(r.Used, 0), g.units)
-	l.pool(g.id).reserved -= g.units - used
+	used := min(max(release.Used, 0), g.units)
+	l.totalsOf(g.id).outstanding -= g.units - used
 	g.units = used
 	if a := l.account(g.id); a != nil {
-		sinceUse := max(time.Duration(r.SinceUse), 0)
-		sinceUse = time.Duration(float64(sinceUse) * (1 - driftMargin*l.settings.MaxClockDrift))
-		g.until = min(g.until, l.now+l.settings.withDrift(a.Window)-sinceUse)
-		heap.Fix(&l.grants, g.index)
+		sinceUse := max(time.Duration(release.SinceUse), 0)
+		sinceUse = time.Duration(float64(sinceUse) * (1 - driftSafetyFactor*l.settings.MaxClockDrift))
+		g.effectUntil = min(g.effectUntil, l.now+l.settings.withDrift(a.Window)-sinceUse)
+		heap.Fix(&l.grants, g.heapIndex)
 	}
 }
 
-// reserved is what of a budget is granted and may have effect.
-func (l *leader) reserved(id ID) (units int) {
+// outstandingUnits returns the number of granted units of a budget that may have effect.
+func (l *leader) outstandingUnits(id ID) (units int) {
 	l.expire()
-	if p := l.pools[id]; p != nil {
-		units = p.reserved
+	if totals := l.totals[id]; totals != nil {
+		units = totals.outstanding
 	}
 	if l.fault == faultFailureDetectorTrusted {
 		for _, g := range l.grants {
-			f := l.followers[g.node]
-			if g.id == id && f != nil && f.until < l.now+l.settings.effectHorizon() {
+			record := l.followers[g.node]
+			if g.id == id && record != nil && record.delegatedUntil < l.now+l.settings.maxEffectDuration() {
 				units -= g.units
 			}
 		}
@@ -130,116 +131,121 @@
 	return units
 }
 
-// available is what a leader may grant of a budget: what is delegated to it until after the effect of a grant, and with
-// a quorum what is nobody's reservation; less what is reserved.
+// available returns the number of units of a budget that the leader may grant: the units delegated to it until after
+// the effect of a grant, and with a quorum the units that are not reserved to any member, less the outstanding units.
 func (l *leader) available(id ID, hasQuorum bool) int {
 	a := l.account(id)
 	if a == nil {
 		return 0
 	}
 	l.expire()
-	s := l.shares(a)
-	units, p := 0, l.pools[id]
-	if p != nil {
-		units = p.delegated
-	}
-	if a.rule != nil && a.isDelegated() && len(l.restDelegators) > 0 {
-		units += l.restDelegated(id, s.allReserved)
-		if p != nil {
-			units -= p.named
+	limitShares := l.shares(a)
+	units, totals := 0, l.totals[id]
+	if totals != nil {
+		units = totals.delegated
+	}
+	if a.rule != nil && a.allowsDelegation() && len(l.unlistedDelegators) > 0 {
+		units += l.unlistedDelegated(id, limitShares.allReserved)
+		if totals != nil {
+			units -= totals.listedReservations
 		}
 	}
-	if units = min(units, s.allReserved); hasQuorum {
-		units += s.limit - s.allReserved
+	if units = min(units, limitShares.allReserved); hasQuorum {
+		units += limitShares.limit - limitShares.allReserved
 	}
-	return units - l.reserved(id)
+	return units - l.outstandingUnits(id)
 }
 
-// restDelegated sums the reservations of a budget at the members that delegate without naming it. The members that have
-// one more unit are those of a range of indexes, which may wrap around.
-func (l *leader) restDelegated(id ID, allReserved int) int {
+// unlistedDelegated returns the sum of the reservations of a budget of all members that delegate unlisted budgets. The
+// members that have one unit more form a range of indexes, which may wrap around.
+func (l *leader) unlistedDelegated(id ID, allReserved int) int {
 	nodes := l.settings.Nodes
-	first := (nodes - l.rotation(id)) % nodes
-	last := first + allReserved%nodes
-	extra := l.restDelegators.below(min(last, nodes)) - l.restDelegators.below(first) +
-		l.restDelegators.below(max(last-nodes, 0))
-	return allReserved/nodes*l.restDelegators.below(nodes) + extra
+	firstExtra := (nodes - l.rotation(id)) % nodes
+	endExtra := firstExtra + allReserved%nodes
+	extraUnits := l.unlistedDelegators.below(min(endExtra, nodes)) - l.unlistedDelegators.below(firstExtra) +
+		l.unlistedDelegators.below(max(endExtra-nodes, 0))
+	return allReserved/nodes*l.unlistedDelegators.below(nodes) + extraUnits
 }
 
-// commitment is the end of what a follower has delegated.
-type commitment struct {
+// delegationExpiry is the time at which the delegations of a follower expire.
+type delegationExpiry struct {
 	until time.Duration
 	node  int
 }
 
-func (c commitment) compare(other commitment) int {
-	return cmp.Or(cmp.Compare(c.until, other.until), cmp.Compare(c.node, other.node))
+func (e delegationExpiry) compare(other delegationExpiry) int {
+	return cmp.Or(cmp.Compare(e.until, other.until), cmp.Compare(e.node, other.node))
 }
 
-// addCommitment counts a follower's delegations, and removeCommitment has them count no more.
-func (l *leader) addCommitment(node int, f *followerRecord) {
-	c := commitment{f.until, node}
-	at, _ := slices.BinarySearchFunc(l.commitments, c, commitment.compare)
-	l.commitments = slices.Insert(l.commitments, at, c)
-	if f.until < l.now+l.settings.effectHorizon() {
-		l.lapsing++
+// addDelegation adds a follower's delegations to the expiries, and to the totals unless they expire before the last
+// effect of a grant made now.
+func (l *leader) addDelegation(node int, record *followerRecord) {
+	expiry := delegationExpiry{record.delegatedUntil, node}
+	index, _ := slices.BinarySearchFunc(l.expiries, expiry, delegationExpiry.compare)
+	l.expiries = slices.Insert(l.expiries, index, expiry)
+	if record.delegatedUntil < l.now+l.settings.maxEffectDuration() {
+		l.expiringSoonCount++
 		return
 	}
-	f.counted = true
-	l.count(node, f, 1)
+	record.isCounted = true
+	l.adjustTotals(node, record, 1)
 }
 
-func (l *leader) removeCommitment(node int, f *followerRecord) {
-	if at, ok := slices.BinarySearchFunc(l.commitments, commitment{f.until, node}, commitment.compare); ok {
-		if l.commitments = slices.Delete(l.commitments, at, at+1); at < l.lapsing {
-			l.lapsing--
+// removeDelegation removes a follower's delegations from the expiries and the totals.
+func (l *leader) removeDelegation(node int, record *followerRecord) {
+	if index, ok := slices.BinarySearchFunc(l.expiries, delegationExpiry{record.delegatedUntil, node},
+		delegationExpiry.compare); ok {
+		if l.expiries = slices.Delete(l.expiries, index, index+1); index < l.expiringSoonCount {
+			l.expiringSoonCount--
 		}
 	}
-	l.uncount(node, f)
+	l.removeFromTotals(node, record)
 }
 
-func (l *leader) uncount(node int, f *followerRecord) {
-	if f.counted {
-		f.counted = false
-		l.count(node, f, -1)
+func (l *leader) removeFromTotals(node int, record *followerRecord) {
+	if record.isCounted {
+		record.isCounted = false
+		l.adjustTotals(node, record, -1)
 	}
 }
 
-// expire has delegations count no more that end before a grant of now would have its last effect, and forgets the
-// commitments and grants that have ended.
+// expire removes from the totals the delegations that expire before the last effect of a grant made now, and removes
+// the delegations and grants that have expired.
 func (l *leader) expire() {
-	for len(l.grants) > 0 && l.grants[0].until <= l.now {
+	for len(l.grants) > 0 && l.grants[0].effectUntil <= l.now {
 		g := heap.Pop(&l.grants).(*leaderGrant)
 		delete(l.grantsByNumber, g.number)
-		l.pool(g.id).reserved -= g.units
-		l.dropEmptyPool(g.id)
-	}
-	lastEffect := l.now + l.settings.effectHorizon()
-	for ; l.lapsing < len(l.commitments) && l.commitments[l.lapsing].until < lastEffect; l.lapsing++ {
-		node := l.commitments[l.lapsing].node
-		l.uncount(node, l.followers[node])
-	}
-	ended := 0
-	for ended < len(l.commitments) && l.commitments[ended].until <= l.now {
-		ended++
-	}
-	l.commitments, l.lapsing = slices.Delete(l.commitments, 0, ended), l.lapsing-ended
-}
-
-// count adds a follower's delegations to the sums, or with a sign of -1 takes them out.
-func (l *leader) count(node int, f *followerRecord, sign int) {
-	for id, units := range f.delegated {
-		p := l.pool(id)
-		p.delegated += sign * units
-		if rule, ok := l.rules[id.Kind]; ok && f.delegatesRest && rule.isDelegated() {
-			p.named += sign * l.sharesOf(node, &account{Spec: Spec{ID: id, BaseLimit: rule.Limit}}).reserved
+		l.totalsOf(g.id).outstanding -= g.units
+		l.dropEmptyTotals(g.id)
+	}
+	lastEffect := l.now + l.settings.maxEffectDuration()
+	for ; l.expiringSoonCount < len(l.expiries) &&
+		l.expiries[l.expiringSoonCount].until < lastEffect; l.expiringSoonCount++ {
+		node := l.expiries[l.expiringSoonCount].node
+		l.removeFromTotals(node, l.followers[node])
+	}
+	endedCount := 0
+	for endedCount < len(l.expiries) && l.expiries[endedCount].until <= l.now {
+		endedCount++
+	}
+	l.expiries, l.expiringSoonCount = slices.Delete(l.expiries, 0, endedCount), l.expiringSoonCount-endedCount
+}
+
+// adjustTotals adds a follower's delegations to the totals if sign is 1, and subtracts them if sign is -1.
+func (l *leader) adjustTotals(node int, record *followerRecord, sign int) {
+	for id, units := range record.delegated {
+		totals := l.totalsOf(id)
+		totals.delegated += sign * units
+		if rule, ok := l.rules[id.Kind]; ok && record.delegatesUnlisted && rule.allowsDelegation() {
+			totals.listedReservations += sign *
+				l.sharesOf(node, &account{Spec: Spec{ID: id, BaseLimit: rule.Limit}}).reserved
 		}
-		l.dropEmptyPool(id)
+		l.dropEmptyTotals(id)
 	}
-	if f.delegatesRest {
-		if l.restDelegators == nil {
-			l.restDelegators = make(indexCounter, l.settings.Nodes+1)
+	if record.delegatesUnlisted {
+		if l.unlistedDelegators == nil {
+			l.unlistedDelegators = make(indexCounter, l.settings.Nodes+1)
 		}
-		l.restDelegators.add(node, int32(sign))
+		l.unlistedDelegators.add(node, int32(sign))
 	}
 }
--- a/budget/member.go
+++ b/budget/member.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// Requestable is what Available returns where no unit is available and Request would ask the leader for one.
+// Requestable is the result of Available if no unit is available and Request would request one from the leader.
 const Requestable = -1
 
-// Member is a node's part in a group. It is not safe for concurrent use. The returned actions are valid until the next
-// call. Time never runs back: a call with an earlier time is taken as of the latest one.
+// Member implements the roles of a node in a group. It is not safe for concurrent use. The returned actions are valid
+// until the next call. If a call passes an earlier time than a previous call, the latest time passed is used.
 type Member struct {
 	*base
 	follower follower
@@ -19,8 +19,8 @@
 	Counters Counters
 }
 
-// New returns the member with settings.Index at the start of its process. The incarnation tells this start from all
-// others of the node.
+// New returns the member with settings.Index at the start of its process. The incarnation distinguishes this process
+// from all others of the node.
 func New(settings Settings, incarnation uint64, now time.Duration) *Member {
 	m := &Member{}
 	m.base = newBase(settings, incarnation, now, &m.Counters)
@@ -33,55 +33,56 @@
 	settings.MaxClockDrift = cmp.Or(settings.MaxClockDrift, defaultClockDrift)
 	return &base{settings: settings, incarnation: max(incarnation, 1), now: now, started: now,
 		recoveredAt: now + settings.RecoveryDelay(), accounts: map[ID]*account{}, rules: map[uint8]Rule{},
-		maxWanted: maxWanted, counters: counters}
+		maxWantedUnits: maxWantedUnits, counters: counters}
 }
 
-// begin sets the time of a call, and drops the actions of the last one.
-func (b *base) begin(now time.Duration) { b.now, b.actions = max(b.now, now), b.actions[:0] }
+// beginCall sets the time of a call, and discards the actions of the previous call.
+func (b *base) beginCall(now time.Duration) { b.now, b.actions = max(b.now, now), b.actions[:0] }
 
-// isSelf tells whether an index is this member's own.
+// isSelf reports whether index is the index of this member.
 func (b *base) isSelf(index int) bool { return index == b.settings.Index && b.settings.Parents == 0 }
 
-// Define adds a budget, or replaces the Spec of one that is known.
-func (m *Member) Define(now time.Duration, s Spec) {
+// Define adds a budget, or replaces the Spec of an existing one.
+func (m *Member) Define(now time.Duration, spec Spec) {
 	m.now = max(m.now, now)
-	m.define(s)
+	m.define(spec)
 }
 
-// SetRule defines all budgets of a kind. It is called once, before any of them is used.
+// SetRule defines all budgets of a kind. It must be called once, before any of them is used.
 func (m *Member) SetRule(kind uint8, rule Rule) { m.leader.setRule(kind, rule) }
 
-// Drop forgets a budget and its use. It must not be defined again under its ID within its window.
+// Drop removes a budget and the record of its use. The budget must not be defined again under the same ID within its
+// window.
 func (m *Member) Drop(id ID) {
 	delete(m.accounts, id)
-	delete(m.follower.wanted, id)
+	delete(m.follower.unansweredRequests, id)
 }
 
-// MaxWindow is the longest window of any budget.
+// MaxWindow returns the longest window of any budget.
 func (m *Member) MaxWindow() time.Duration { return m.settings.MaxWindow }
 
-// Available returns how many units may be acquired now: 0 where there are none to be had, Requestable where there may
-// be some.
+// Available returns how many units may be acquired now. If there is none, it returns Requestable if Request may obtain
+// one, and 0 otherwise.
 func (m *Member) Available(now time.Duration, id ID) int {
 	m.now = max(m.now, now)
 	return m.follower.available(id)
 }
 
-// Request asks for a unit where none is available. It tells whether an answer will come, as a RequestAnswered. The next
-// Tick sends the message.
+// Request requests a unit if none is available. It reports whether a RequestAnswered will follow. The next call of Tick
+// sends the message.
 func (m *Member) Request(now time.Duration, id ID) bool {
 	m.now = max(m.now, now)
 	return m.follower.request(id, 1)
 }
 
-// Acquire takes one unit if one is available as of now, and tells whether it did.
+// Acquire takes one unit if one is available, and reports whether it did.
 func (m *Member) Acquire(now time.Duration, id ID) bool {
 	m.now = max(m.now, now)
 	a := m.account(id)
 	return a != nil && m.acquire(a)
 }
 
-// Release gives back one unit of a concurrency limit that is no longer in use.
+// Release returns one unit of a concurrency limit that is no longer in use.
 func (m *Member) Release(now time.Duration, id ID) {
 	m.now = max(m.now, now)
 	if a := m.account(id); a != nil && a.isConcurrencyLimit() {
@@ -89,8 +90,8 @@
 	}
 }
 
-// Adopt counts one unit of a concurrency limit that is in use already, such as from before this start, whether it is
-// available or not.
+// Adopt counts one unit of a concurrency limit that is already in use, for example since before this process started.
+// It counts the unit even if none is available.
 func (m *Member) Adopt(now time.Duration, id ID) {
 	m.now = max(m.now, now)
 	if a := m.account(id); a != nil && a.isConcurrencyLimit() {
@@ -98,54 +99,54 @@
 	}
 }
 
-// ReplaceParents has the member follow other parents, so many in a new order of preference. It follows none until one
-// of them responds, as an index may now mean another parent.
+// ReplaceParents replaces the parents by a number of others in a new order of preference. The member follows none until
+// one of them responds, because an index may now refer to another parent.
 func (m *Member) ReplaceParents(now time.Duration, parents int) {
 	m.now = max(m.now, now)
 	m.follower.replaceParents(parents)
 }
 
-// Tick does what is due, and schedules the next call. An early call does no harm.
+// Tick sends the messages that are due, and schedules the next call. A call before the scheduled time is harmless.
 func (m *Member) Tick(now time.Duration) []Action {
-	m.begin(now)
+	m.beginCall(now)
 	m.follower.tick()
-	m.actions = m.expiringLeases(m.actions)
-	m.actions = append(m.actions, ScheduleTick{After: max(m.follower.due()-m.now, time.Millisecond)})
+	m.actions = m.appendLeaseExpiring(m.actions)
+	m.actions = append(m.actions, ScheduleTick{After: max(m.follower.nextSend()-m.now, time.Millisecond)})
 	return m.actions
 }
 
-// Leave tells leader and followers that this process stops: others may use its reservations and what it holds. It
-// acquires nothing after it.
+// Leave informs the leader and the followers that this process stops, so that other members may use its reservations
+// and grants. The member acquires no units afterwards.
 func (m *Member) Leave(now time.Duration) []Action {
-	m.begin(now)
-	m.leaving = true
+	m.beginCall(now)
+	m.isLeaving = true
 	m.follower.sendRequest()
 	m.noReservationUntil = math.MaxInt64
-	for _, r := range m.leader.leavingResponses(m.settings.Index) {
+	for _, response := range m.leader.leavingResponses(m.settings.Index) {
 		m.Counters.Sent++
-		m.actions = append(m.actions, r)
+		m.actions = append(m.actions, response)
 	}
 	return m.actions
 }
 
-// HandleMessage takes in a message from the member, or the parent, with an index.
+// HandleMessage handles a message from the member or the parent that has the index from.
 func (m *Member) HandleMessage(now time.Duration, from int, message Message) []Action {
-	m.begin(now)
+	m.beginCall(now)
 	switch message := message.(type) {
 	case LeaseRequest:
-		if m.isKnown(from, message.Incarnation) {
+		if m.isFromGroup(from, message.Incarnation) {
 			m.handleRequest(from, &message)
 		}
 	case LeaseResponse:
-		if m.isKnown(from, message.Incarnation) {
+		if m.isFromGroup(from, message.Incarnation) {
 			m.follower.handleResponse(from, &message)
 		}
 	}
 	return m.actions
 }
 
-// isKnown tells whether a message may be of the group, and counts it otherwise.
-func (m *Member) isKnown(from int, incarnation uint64) bool {
+// isFromGroup reports whether a message may come from the group, and counts it as unknown otherwise.
+func (m *Member) isFromGroup(from int, incarnation uint64) bool {
 	ok := from >= 0 && from < m.settings.groupSize() && incarnation != 0
 	if !ok {
 		m.Counters.Unknown++
@@ -157,7 +158,7 @@
 	if m.settings.Parents > 0 {
 		m.Counters.Unknown++
 		return
-	} else if m.leaving {
+	} else if m.isLeaving {
 		return
 	}
 	response, ok := m.leader.handleRequest(from, request)
@@ -171,7 +172,7 @@
 	}
 }
 
-// State returns the member's part in its group as of now.
+// State returns the state of the member's roles in its group.
 func (m *Member) State(now time.Duration) State {
 	m.now = max(m.now, now)
 	f := &m.follower
--- a/budget/message.go
+++ b/budget/message.go
@@ -2,43 +2,46 @@
 
 import "time"
 
-// Message is what members of a group, or a parent and its children, send each other: a LeaseRequest or a LeaseResponse.
+// Message is a LeaseRequest or a LeaseResponse. The members of a group, or a Parent and its children, exchange
+// messages.
 type Message interface {
-	// SenderIncarnation tells the sender's process from earlier and later ones with the same index.
+	// SenderIncarnation distinguishes the sender's process from earlier and later ones with the same index.
 	SenderIncarnation() uint64
-	// MarshalCBOR encodes the message as DecodeMessage reads it.
+	// MarshalCBOR encodes the message in the form that DecodeMessage reads.
 	MarshalCBOR() ([]byte, error)
 	isMessage()
 }
 
-// LeaseRequest goes from a follower to a leader. Without Leader it is a ping, or brings Wanted and Releases alone.
+// LeaseRequest is sent by a follower to a leader. If Leader is 0, the request delegates nothing. A ping has
+// no Leader and no lists.
 type LeaseRequest struct {
 	Incarnation       uint64        // of the sender, never 0
-	Seq               uint64        // rises with each request of an incarnation
-	LeaderClock       time.Duration // the latest that came from this leader; 0 for none
-	Leader            uint64        // incarnation of the leader that the sender follows and delegates to; 0 for none
-	Delegated         []Amount      // reservations that the sender leaves to the leader
-	DelegatesUnlisted bool          // and whole reservations of the budgets of rules that Delegated does not name
-	ConcurrencyHeld   []Amount      // units under concurrency leases, to be renewed
-	Acknowledged      uint64        // Seq of the latest response that came
-	Wanted            []Amount      // units that are asked for
-	Releases          []Release     // of grants by Leader, or by ReleasesTo where Leader is 0
-	ReleasesTo        uint64        // incarnation of the leader that Releases are for; 0 for Leader
-	Leaving           bool          // the sender stops, and will use nothing any more
+	Seq               uint64        // increases with each request of an incarnation
+	LeaderClock       time.Duration // latest LeaderClock received from this leader; 0 for none
+	Leader            uint64        // incarnation of the leader that the sender delegates to; 0 for none
+	Delegated         []Amount      // units of reservations that the sender delegates
+	DelegatesUnlisted bool          // full reservations are delegated of budgets of rules that Delegated does not list
+	ConcurrencyHeld   []Amount      // units under concurrency leases, which are to be renewed
+	Acknowledged      uint64        // Seq of the latest response received
+	Wanted            []Amount      // units that the sender requests
+	Releases          []Release     // of grants by Leader, or by ReleasesTo if Leader is 0
+	ReleasesTo        uint64        // incarnation of the leader that Releases are addressed to; 0 for Leader
+	Leaving           bool          // the sender stops and uses no more units
 }
 
-// LeaseResponse goes from a leader to a follower: the answer to a LeaseRequest, or on its own when the leader leaves.
+// LeaseResponse is sent by a leader to a follower: in response to a LeaseRequest, or unrequested when the leader
+// leaves.
 type LeaseResponse struct {
 	Incarnation             uint64        // of the sender, never 0
-	Seq                     uint64        // of the request
-	LeaderClock             time.Duration // the sender's clock, which the follower repeats in its next request
-	Follower                uint64        // incarnation that sent the request
-	RenewsConcurrencyLeases bool          // the concurrency leases that the request named are renewed
+	Seq                     uint64        // Seq of the request
+	LeaderClock             time.Duration // time on the sender's clock, which the follower repeats in its next request
+	Follower                uint64        // incarnation of the sender of the request
+	RenewsConcurrencyLeases bool          // the leases of ConcurrencyHeld of the request are renewed
 	Grants                  []Grant
-	HasQuorum               bool          // more than half of the group follow the sender
-	DuplicateIndex          bool          // another incarnation uses the follower's index
+	HasQuorum               bool          // more than half of the group follows the sender
+	DuplicateIndex          bool          // another incarnation has the follower's index
 	Leaving                 bool          // the sender stops; only Incarnation, Follower and GrantsExpireIn are set
-	GrantsExpireIn          time.Duration // with Leaving: how long a grant of the sender may have effect
+	GrantsExpireIn          time.Duration // if Leaving: time until no grant of the sender has effect
 }
 
 // Amount is a number of units of a budget.
@@ -48,26 +51,26 @@
 	Units int
 }
 
-// Grant is a number of units of a budget, each for one use within Settings.LeaseTerm of the request.
+// Grant is a number of units of a budget, each for one use within Settings.LeaseTerm after the request.
 type Grant struct {
 	_      struct{} `cbor:",toarray"`
 	ID     ID
 	Units  int
-	Number uint64 // names the grant in a Release; 0 for concurrency leases
+	Number uint64 // identifies the grant in a Release; 0 for concurrency leases
 }
 
-// Release reports the end of a grant: so many units were used, and the others are free again.
+// Release reports the end of a grant: Used units were used, and the others are available to the leader again.
 type Release struct {
 	_        struct{} `cbor:",toarray"`
-	Grant    uint64   // its Number
+	Grant    uint64   // Number of the grant
 	Used     int      // units
-	SinceUse int64    // nanoseconds since the last use, at the least, when the message was sent
+	SinceUse int64    // lower bound of the nanoseconds from the last use until the message was sent
 }
 
-// SenderIncarnation is part of Message.
+// SenderIncarnation implements Message.
 func (r LeaseRequest) SenderIncarnation() uint64 { return r.Incarnation }
 
-// SenderIncarnation is part of Message.
+// SenderIncarnation implements Message.
 func (r LeaseResponse) SenderIncarnation() uint64 { return r.Incarnation }
 
 func (LeaseRequest) isMessage()  {}
--- a/budget/parent_test.go
+++ b/budget/parent_test.go
@@ -98,7 +98,7 @@
 	}
 	// The other control machine is followed and answers nothing of what is wanted.
 	p.group.follower.leaderIndex = 1
-	p.group.follower.contacts[1] = leaderContact{incarnation: 9, clock: 1, at: now, hasQuorum: true}
+	p.group.follower.contacts[1] = leaderContact{incarnation: 9, leaderClock: 1, receivedAt: now, hasQuorum: true}
 	for i := range 2000 {
 		count(p.HandleChildMessage(now, i, request(1, ID{Kind: 1})))
 	}
@@ -110,13 +110,13 @@
 	}
 	now += settings.HeartbeatInterval / deferralDivisor
 	count(p.Tick(now))
-	if deferred := p.State(now).Deferred; deferred != 0 || answered != 2020 || len(p.deferrals) != 0 {
+	if deferred := p.State(now).Deferred; deferred != 0 || answered != 2020 || len(p.deferredByChild) != 0 {
 		t.Errorf("%d deferred after their time, %d answered", deferred, answered)
 	}
 	for seq := range uint64(20) {
 		count(p.HandleChildMessage(now, 2501, request(seq+1, ID{Kind: 1, Subject: 5})))
 	}
-	if deferred := p.State(now).Deferred; deferred > maxDeferredEach {
+	if deferred := p.State(now).Deferred; deferred > maxDeferredPerChild {
 		t.Errorf("%d deferred of one node", deferred)
 	}
 }
@@ -147,7 +147,7 @@
 		p.Tick(now)
 	}
 	below, above := len(p.children.accounts), len(p.group.accounts)
-	pools := len(p.children.pools) + len(p.group.leader.pools)
+	pools := len(p.children.totals) + len(p.group.leader.totals)
 	if below > 50 || above > 50 || pools > 100 {
 		t.Errorf("%d and %d are remembered, and %d sums", below, above, pools)
 	}
--- a/budget/statekey_test.go
+++ b/budget/statekey_test.go
@@ -42,10 +42,10 @@
 func (m *model) key() string {
 	k := newKeyWriter()
 	for _, b := range m.members {
-		k.seqs[b.incarnation] = b.follower.seq
+		k.seqs[b.incarnation] = b.follower.lastSeq
 	}
 	for _, p := range m.parents {
-		k.seqs[p.children.incarnation], k.seqs[p.group.incarnation] = 0, p.group.follower.seq
+		k.seqs[p.children.incarnation], k.seqs[p.group.incarnation] = 0, p.group.follower.lastSeq
 	}
 	for i, p := range m.parents {
 		fmt.Fprint(k, m.isPaused[i])
@@ -70,7 +70,7 @@
 }
 
 func (m *model) writeParent(k *keyWriter, p *Parent, now time.Duration) {
-	fmt.Fprint(k, max(p.nextWants-now, -tick)/time.Millisecond, len(p.deferred), p.releasedByFault)
+	fmt.Fprint(k, max(p.nextGroupRequest-now, -tick)/time.Millisecond, len(p.deferred), p.releasedUnits)
 	k.base(p.children.base, now)
 	k.leader(&p.children, now)
 	k.member(p.group, now, m.clock)
@@ -90,10 +90,10 @@
 
 func (k *keyWriter) base(b *base, now time.Duration) {
 	at := func(t time.Duration) time.Duration { return since(now, t) }
-	fmt.Fprint(k, k.name(b.incarnation), at(b.recoveredAt), at(b.noReservationUntil), at(b.restDelegatedUntil),
-		at(b.started), len(b.released), "|")
+	fmt.Fprint(k, k.name(b.incarnation), at(b.recoveredAt), at(b.noReservationUntil), at(b.unlistedDelegatedUntil),
+		at(b.started), len(b.pendingReleases), "|")
 	for _, a := range b.accounts {
-		for _, t := range slices.Concat(a.spent, []time.Duration{0}, a.demand) { // the 0 parts them
+		for _, t := range slices.Concat(a.reservationUses, []time.Duration{0}, a.recentDemand) { // the 0 parts them
 			if at(t) >= -3000 || t == 0 {
 				fmt.Fprint(k, at(t), " ")
 			}
@@ -106,26 +106,27 @@
 		for _, g := range a.grants {
 			fmt.Fprint(k, g.units-g.used, at(g.until), " ")
 		}
-		fmt.Fprint(k, a.unsent, at(a.deniedAt), a.isWaiting, k.seq(b.incarnation, a.requestSeq))
+		fmt.Fprint(k, a.unsentUnits, at(a.deniedAt), a.hasPendingRequest, k.seq(b.incarnation, a.lastRequestSeq))
 	}
 }
 
 func (k *keyWriter) follower(f *follower, now time.Duration, clock func(int) time.Duration) {
 	at := func(t time.Duration) time.Duration { return since(now, t) }
-	fmt.Fprint(k, at(f.nextHeartbeat), f.leaderIndex, k.name(f.boundTo), at(f.boundUntil), f.pings%24, "|")
-	if f.wantsOnly {
-		fmt.Fprint(k, f.missed, k.name(f.fullRequestTo), at(f.nextWantsOnly), "|")
+	fmt.Fprint(k, at(f.nextHeartbeat), f.leaderIndex, k.name(f.delegatedTo), at(f.delegatedUntil), f.pingCount%24, "|")
+	if f.sendsPartialRequests {
+		fmt.Fprint(k, f.missedHeartbeats, k.name(f.fullRequestTo), at(f.nextPartialRequest), "|")
 	}
 	for _, j := range slices.Sorted(maps.Keys(f.contacts)) {
 		c := f.contacts[j]
-		fmt.Fprint(k, j, k.name(c.incarnation), at(c.at), (c.clock-clock(j))/time.Millisecond, c.hasQuorum, ";")
+		fmt.Fprint(k, j, k.name(c.incarnation), at(c.receivedAt), (c.leaderClock-clock(j))/time.Millisecond,
+			c.hasQuorum, ";")
 		if f.hasParents() {
-			fmt.Fprint(k, min(c.responses, returnAfterResponses), ";")
+			fmt.Fprint(k, min(c.consecutiveResponses, responsesBeforeReturn), ";")
 		}
 	}
 	for _, seq := range slices.Sorted(maps.Keys(f.pending)) {
-		if p := f.pending[seq]; at(p.at) > -4000 {
-			fmt.Fprint(k, f.seq-seq, p.to, at(p.at), ",")
+		if p := f.pending[seq]; at(p.sentAt) > -4000 {
+			fmt.Fprint(k, f.lastSeq-seq, p.to, at(p.sentAt), ",")
 		}
 	}
 }
@@ -134,13 +135,13 @@
 	at := func(t time.Duration) time.Duration { return since(now, t) }
 	for _, j := range slices.Sorted(maps.Keys(l.followers)) {
 		f := l.followers[j]
-		fmt.Fprint(k, "f", j, k.name(f.incarnation), k.seq(f.incarnation, f.seq), at(f.until), f.delegated[modelID],
-			len(f.delegated), f.delegatesRest, k.name(f.rival), f.isDuplicate)
+		fmt.Fprint(k, "f", j, k.name(f.incarnation), k.seq(f.incarnation, f.seq), at(f.delegatedUntil),
+			f.delegated[modelID], len(f.delegated), f.delegatesUnlisted, k.name(f.otherIncarnation), f.isDuplicate)
 	}
 	byNumber := func(x, y *leaderGrant) int { return int(x.number) - int(y.number) }
 	for _, g := range slices.SortedFunc(slices.Values(l.grants), byNumber) {
-		if at(g.until) > 0 {
-			fmt.Fprint(k, "g", l.lastGrant-g.number, g.node, k.name(g.incarnation), g.units, at(g.until))
+		if at(g.effectUntil) > 0 {
+			fmt.Fprint(k, "g", l.lastGrantNumber-g.number, g.node, k.name(g.incarnation), g.units, at(g.effectUntil))
 		}
 	}
 }
--- a/budget/statespace_test.go
+++ b/budget/statespace_test.go
@@ -333,7 +333,7 @@
 	c := *p
 	c.children, c.group = p.children.clone(p.children.base.clone(&Counters{})), p.group.clone()
 	c.actions, c.deferred = nil, nil
-	c.deferrals, c.releasedByFault = maps.Clone(p.deferrals), maps.Clone(p.releasedByFault)
+	c.deferredByChild, c.releasedUnits = maps.Clone(p.deferredByChild), maps.Clone(p.releasedUnits)
 	for _, d := range p.deferred {
 		e := *d
 		e.wanted, e.response.Grants = slices.Clone(d.wanted), slices.Clone(d.response.Grants)
@@ -349,17 +349,19 @@
 	c.leader = m.leader.clone(c.base)
 	c.follower = m.follower
 	f := &c.follower
-	f.base, f.self = c.base, &c.leader
-	f.contacts, f.pending, f.wanted = maps.Clone(f.contacts), maps.Clone(f.pending), maps.Clone(f.wanted)
+	f.base, f.ownLeader = c.base, &c.leader
+	f.contacts, f.pending, f.unansweredRequests = maps.Clone(f.contacts), maps.Clone(f.pending),
+		maps.Clone(f.unansweredRequests)
 	return c
 }
 
 func (b *base) clone(counters *Counters) *base {
 	c := *b
-	c.actions, c.counters, c.released, c.accounts = nil, counters, slices.Clone(b.released), map[ID]*account{}
+	c.actions, c.counters, c.pendingReleases, c.accounts = nil, counters, slices.Clone(b.pendingReleases),
+		map[ID]*account{}
 	for id, a := range b.accounts {
 		d := *a
-		d.spent, d.demand = slices.Clone(a.spent), slices.Clone(a.demand)
+		d.reservationUses, d.recentDemand = slices.Clone(a.reservationUses), slices.Clone(a.recentDemand)
 		d.delegations, d.grants = slices.Clone(a.delegations), slices.Clone(a.grants)
 		c.accounts[id] = &d
 	}
@@ -369,16 +371,16 @@
 func (l *leader) clone(b *base) leader {
 	c := *l
 	c.base, c.concurrencyLeases = b, maps.Clone(l.concurrencyLeases)
-	c.commitments, c.restDelegators = slices.Clone(l.commitments), slices.Clone(l.restDelegators)
-	c.followers, c.pools = map[int]*followerRecord{}, map[ID]*pool{}
+	c.expiries, c.unlistedDelegators = slices.Clone(l.expiries), slices.Clone(l.unlistedDelegators)
+	c.followers, c.totals = map[int]*followerRecord{}, map[ID]*budgetTotals{}
 	for i, f := range l.followers {
 		g := *f
 		g.delegated = maps.Clone(f.delegated)
 		c.followers[i] = &g
 	}
-	for id, p := range l.pools {
+	for id, p := range l.totals {
 		q := *p
-		c.pools[id] = &q
+		c.totals[id] = &q
 	}
 	c.grants, c.grantsByNumber = nil, map[uint64]*leaderGrant{}
 	for _, g := range l.grants {
@@ -438,8 +440,8 @@
 		{2, 2, 2, 2, 2, 0.5, tick, nil, 0}, {2, 2, 2, 2, 2, 0.5, 3 * tick, rule, 0},
 		{2, 2, 2, 2, 2, 0.5, tick, undelegated, 0}, {2, 1, 2, 3, 2, 0, 2 * tick, rule, 0},
 		{2, 2, 2, 3, 1, 0, 4 * tick, nil, 0}, {1, 2, 2, 2, 2, 1, tick, nil, 0},
-		{2, 2, 2, 4, 1, 0, 4 * tick, nil, faultGroupWindowShort},
-		{2, 2, 2, 2, 1, 0, tick, nil, faultGroupNotCharged},
+		{2, 2, 2, 4, 1, 0, 4 * tick, nil, faultGroupWindowNotExtended},
+		{2, 2, 2, 2, 1, 0, tick, nil, faultGroupUnitsNotAcquired},
 		{2, 2, 2, 3, 2, 0.5, tick, nil, faultChildFractionIgnored},
 		{1, 2, 2, 3, 1, 1, tick, nil, faultNoRecoveryDelay}},
 		settling, func(t *testing.T, e explored, r result) {
--- a/budget/wire.go
+++ b/budget/wire.go
@@ -7,13 +7,13 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// wireMessage is the form of both messages on the wire, an array: fields that a message does not have are zero.
+// wireMessage is the encoding of both messages as one array. Fields that a message does not have are zero.
 type wireMessage struct {
 	_                       struct{} `cbor:",toarray"`
 	IsResponse              bool
 	Incarnation             uint64
 	Seq                     uint64
-	Stamp                   int64  // LeaderClock; of a leaving leader GrantsExpireIn
+	Stamp                   int64  // LeaderClock, or GrantsExpireIn if a leader leaves
 	Peer                    uint64 // Leader of a request, Follower of a response
 	Delegated               []Amount
 	DelegatesUnlisted       bool
@@ -29,15 +29,15 @@
 	Leaving                 bool
 }
 
-// DecodeError says that a datagram's body is not a message.
+// DecodeError reports that the body of a datagram is not a message.
 type DecodeError struct{ Err error }
 
 func (e *DecodeError) Error() string { return fmt.Sprintf("budget: not a message: %v", e.Err) }
 
-// Unwrap gives the decoder's error.
+// Unwrap returns the error of the decoder.
 func (e *DecodeError) Unwrap() error { return e.Err }
 
-// DecodeMessage reads a LeaseRequest or LeaseResponse. The error is a *DecodeError.
+// DecodeMessage decodes a LeaseRequest or a LeaseResponse. The error, if any, is a *DecodeError.
 func DecodeMessage(data []byte) (Message, error) {
 	var w wireMessage
 	if err := cbor.Unmarshal(data, &w); err != nil {
@@ -49,7 +49,7 @@
 	return w.request(), nil
 }
 
-// MarshalCBOR is part of cbor.Marshaler.
+// MarshalCBOR implements cbor.Marshaler.
 func (r LeaseRequest) MarshalCBOR() ([]byte, error) {
 	return cbor.Marshal(wireMessage{Incarnation: r.Incarnation, Seq: r.Seq, Stamp: int64(r.LeaderClock), Peer: r.Leader,
 		Delegated: r.Delegated, DelegatesUnlisted: r.DelegatesUnlisted, ConcurrencyHeld: r.ConcurrencyHeld,
@@ -57,7 +57,7 @@
 		Leaving: r.Leaving})
 }
 
-// MarshalCBOR is part of cbor.Marshaler.
+// MarshalCBOR implements cbor.Marshaler.
 func (r LeaseResponse) MarshalCBOR() ([]byte, error) {
 	w := wireMessage{IsResponse: true, Incarnation: r.Incarnation, Seq: r.Seq, Stamp: int64(r.LeaderClock),
 		Peer: r.Follower, RenewsConcurrencyLeases: r.RenewsConcurrencyLeases, Grants: r.Grants, HasQuorum: r.HasQuorum,
--- a/budget/world_test.go
+++ b/budget/world_test.go
@@ -219,17 +219,17 @@
 }
 
 func (p *Parent) setFault(f fault) {
-	p.fault, p.children.fault, p.releasedByFault = f, f, map[ID]int{}
+	p.fault, p.children.fault, p.releasedUnits = f, f, map[ID]int{}
 }
 
 // noteReleased counts the releases that faultReleasedGrantedAgain grants.
 func (p *Parent) noteReleased(message Message, id ID) {
-	if p.fault != faultReleasedGrantedAgain {
+	if p.fault != faultReleasedUnitsRegranted {
 		return
 	}
 	for _, r := range message.(LeaseRequest).Releases {
 		if r.Used == 0 {
-			p.releasedByFault[id]++
+			p.releasedUnits[id]++
 		}
 	}
 }
