--- a/budget/account.go
+++ b/budget/account.go
@@ -79,38 +79,38 @@
 // delay.
 func (b *base) define(spec Spec) {
 	spec.Window = min(spec.Window, b.settings.MaxWindow)
-	a := b.accounts[spec.ID]
+	existing := b.accounts[spec.ID]
 	switch {
-	case a == nil:
+	case existing == nil:
 		b.accounts[spec.ID] = &account{Spec: spec}
-	case a.Spec == spec:
-		a.pendingSpec = nil
-	case spec.mayExceed(&a.Spec):
-		if a.pendingSpec == nil || *a.pendingSpec != spec {
-			a.pendingSpec, a.pendingFrom = &spec, b.now+b.settings.RecoveryDelay()
+	case existing.Spec == spec:
+		existing.pendingSpec = nil
+	case spec.mayExceed(&existing.Spec):
+		if existing.pendingSpec == nil || *existing.pendingSpec != spec {
+			existing.pendingSpec, existing.pendingFrom = &spec, b.now+b.settings.RecoveryDelay()
 		}
 	default:
-		a.Spec, a.pendingSpec = spec, nil
+		existing.Spec, existing.pendingSpec = spec, nil
 	}
 }
 
-// account returns the account of a budget after removing what has expired, or nil for an unknown budget. The account of
+// account returns the account of a budget after removing expired entries, or nil for an unknown budget. The account of
 // a budget of a rule is created at its first use.
 func (b *base) account(id ID) *account {
-	a := b.accounts[id]
-	if a == nil {
-		if a = b.newRuleAccount(id); a == nil {
+	account := b.accounts[id]
+	if account == nil {
+		if account = b.newRuleAccount(id); account == nil {
 			return nil
 		}
 	}
-	if a.pendingSpec != nil && b.now >= a.pendingFrom {
-		a.Spec, a.pendingSpec = *a.pendingSpec, nil
+	if account.pendingSpec != nil && b.now >= account.pendingFrom {
+		account.Spec, account.pendingSpec = *account.pendingSpec, nil
 	}
-	b.expireConcurrencyLeases(a)
-	a.reservationUses = dropUntil(a.reservationUses, b.now-b.settings.withDrift(a.Window))
-	a.recentDemand = dropUntil(a.recentDemand, b.now-2*a.Window)
-	a.delegations = slices.DeleteFunc(a.delegations, func(d delegation) bool { return d.until <= b.now })
-	a.grants = slices.DeleteFunc(a.grants, func(g heldGrant) bool {
+	b.expireConcurrencyLeases(account)
+	account.reservationUses = dropUntil(account.reservationUses, b.now-b.settings.withDrift(account.Window))
+	account.recentDemand = dropUntil(account.recentDemand, b.now-2*account.Window)
+	account.delegations = slices.DeleteFunc(account.delegations, func(d delegation) bool { return d.until <= b.now })
+	account.grants = slices.DeleteFunc(account.grants, func(g heldGrant) bool {
 		if g.until > b.now && g.used < g.units {
 			return false
 		}
@@ -118,7 +118,7 @@
 		b.pendingReleases = append(b.pendingReleases, g.release())
 		return true
 	})
-	return a
+	return account
 }
 
 // dropUntil removes the times up to and including the cutoff from the start of an ordered list.
@@ -140,12 +140,12 @@
 		return nil
 	}
 	spec := Spec{ID: id, BaseLimit: rule.Limit, Window: min(rule.Window, b.settings.MaxWindow)}
-	a := &account{Spec: spec, rule: &rule}
+	created := &account{Spec: spec, rule: &rule}
 	if b.now < b.unlistedDelegatedUntil && rule.allowsDelegation() && b.fault != faultUnlistedDelegationsForgotten {
-		a.delegations = []delegation{{b.shares(a).reserved, b.unlistedDelegatedUntil}}
+		created.delegations = []delegation{{b.shares(created).reserved, b.unlistedDelegatedUntil}}
 	}
-	b.accounts[id] = a
-	return a
+	b.accounts[id] = created
+	return created
 }
 
 // sweep removes the idle accounts of rules, at most twice per heartbeat interval.
@@ -154,8 +154,8 @@
 		return
 	}
 	b.sweptAt = b.now
-	for id, a := range b.accounts {
-		if a.rule != nil && b.account(id).isIdle() {
+	for id, account := range b.accounts {
+		if account.rule != nil && b.account(id).isIdle() {
 			delete(b.accounts, id)
 		}
 	}
@@ -171,7 +171,7 @@
 	return ids
 }
 
-// isIdle reports whether the account holds nothing that newRuleAccount would not restore.
+// isIdle reports whether the account may be dropped: newRuleAccount would create it again in the same state.
 func (a *account) isIdle() bool {
 	return len(a.reservationUses)+len(a.recentDemand)+len(a.grants)+a.concurrency.totalUnits() == 0 &&
 		!a.hasPendingRequest
@@ -217,19 +217,19 @@
 }
 
 // shares returns the shares of a budget with the reservation of this member.
-func (b *base) shares(a *account) shares { return b.sharesOf(b.settings.Index, a) }
+func (b *base) shares(account *account) shares { return b.sharesOf(b.settings.Index, account) }
 
 // sharesOf returns the shares of a budget with the reservation of the member that has the index. Reservations are whole
 // units. A hash of the ID selects the members that have one unit more, so that the small reservations of many budgets
 // do not accumulate at the same members.
-func (b *base) sharesOf(index int, a *account) shares {
-	limitShares := shares{limit: a.limit(b.now)}
+func (b *base) sharesOf(index int, account *account) shares {
+	limitShares := shares{limit: account.limit(b.now)}
 	if b.fault != faultChildFractionIgnored {
 		limitShares.limit -= int(math.Ceil(b.settings.ChildFraction * float64(limitShares.limit)))
 	}
 	limitShares.allReserved = int(math.Ceil(b.settings.GuaranteedFraction * float64(limitShares.limit)))
 	limitShares.reserved = limitShares.allReserved / b.settings.Nodes
-	if (index+b.rotation(a.ID))%b.settings.Nodes < limitShares.allReserved%b.settings.Nodes {
+	if (index+b.rotation(account.ID))%b.settings.Nodes < limitShares.allReserved%b.settings.Nodes {
 		limitShares.reserved++
 	}
 	return limitShares
@@ -245,42 +245,43 @@
 
 // availableReservation returns the units of its reservation that the member may use now. The result is negative if it
 // uses more than its reservation.
-func (b *base) availableReservation(a *account) int {
-	if b.isRecovering(a) || b.now < b.noReservationUntil {
+func (b *base) availableReservation(account *account) int {
+	if b.isRecovering(account) || b.now < b.noReservationUntil {
 		return 0
 	}
 	delegated := 0
-	for _, d := range a.delegations {
+	for _, d := range account.delegations {
 		delegated = max(delegated, d.units)
 	}
-	return b.shares(a).reserved - delegated - len(a.reservationUses) - a.concurrency.reserved - a.concurrency.expired
+	return b.shares(account).reserved - delegated - len(account.reservationUses) -
+		account.concurrency.reserved - account.concurrency.expired
 }
 
 // isRecovering reports whether an earlier incarnation may still use the reservation, or have delegated it.
-func (b *base) isRecovering(a *account) bool {
+func (b *base) isRecovering(account *account) bool {
 	until := b.recoveredAt
-	if !a.allowsDelegation() {
-		until = b.started + b.settings.withDrift(a.Window)
+	if !account.allowsDelegation() {
+		until = b.started + b.settings.withDrift(account.Window)
 	}
-	if b.fault == faultNoRecoveryDelay || b.fault == faultNoRecoveryDelayOfUndelegated && !a.allowsDelegation() {
+	if b.fault == faultNoRecoveryDelay || b.fault == faultNoRecoveryDelayOfUndelegated && !account.allowsDelegation() {
 		return false
 	}
 	return b.now < until
 }
 
 // acquire takes one available unit, and reports whether there was one.
-func (b *base) acquire(a *account) bool {
-	if a.isConcurrencyLimit() {
-		return b.acquireConcurrent(a)
+func (b *base) acquire(account *account) bool {
+	if account.isConcurrencyLimit() {
+		return b.acquireConcurrent(account)
 	}
-	if b.availableReservation(a) > 0 {
-		a.reservationUses = append(a.reservationUses, b.now)
-		a.recordDemand(b.now, demandHistoryFactor*b.maxWantedUnits)
+	if b.availableReservation(account) > 0 {
+		account.reservationUses = append(account.reservationUses, b.now)
+		account.recordDemand(b.now, demandHistoryFactor*b.maxWantedUnits)
 		b.counters.Reserved++
 		return true
 	}
-	for i := range a.grants {
-		if g := &a.grants[i]; g.used < g.units {
+	for i := range account.grants {
+		if g := &account.grants[i]; g.used < g.units {
 			g.used, g.lastUse = g.used+1, b.now
 			b.counters.Leased++
 			return true
--- a/budget/concurrency.go
+++ b/budget/concurrency.go
@@ -33,33 +33,33 @@
 
 // expireConcurrencyLeases counts the units of expired leases as expired, and drops idle units near the end of their
 // lease, so that they are not used any more.
-func (b *base) expireConcurrencyLeases(a *account) {
-	if !a.isConcurrencyLimit() {
+func (b *base) expireConcurrencyLeases(account *account) {
+	if !account.isConcurrencyLimit() {
 		return
 	}
-	c := &a.concurrency
-	if b.now >= c.leaseEnd {
-		c.leased, c.idle, c.expired = 0, 0, c.expired+c.leased
-	} else if b.isExpiring(a) {
-		c.idle = 0
+	holding := &account.concurrency
+	if b.now >= holding.leaseEnd {
+		holding.leased, holding.idle, holding.expired = 0, 0, holding.expired+holding.leased
+	} else if b.isExpiring(account) {
+		holding.idle = 0
 	}
 }
 
 // isExpiring reports whether the units under leases are to be ended.
-func (b *base) isExpiring(a *account) bool {
-	return b.now >= a.concurrency.leaseEnd-a.rule.ConcurrencyLeaseTerm/expiringDivisor
+func (b *base) isExpiring(account *account) bool {
+	return b.now >= account.concurrency.leaseEnd-account.rule.ConcurrencyLeaseTerm/expiringDivisor
 }
 
 // acquireConcurrent takes one unit of a concurrency limit, and reports whether there was one.
-func (b *base) acquireConcurrent(a *account) bool {
-	c := &a.concurrency
+func (b *base) acquireConcurrent(account *account) bool {
+	holding := &account.concurrency
 	switch {
-	case b.availableReservation(a) > 0:
-		c.reserved++
+	case b.availableReservation(account) > 0:
+		holding.reserved++
 		b.counters.Reserved++
-	case c.idle > 0:
-		c.idle--
-		c.leased++
+	case holding.idle > 0:
+		holding.idle--
+		holding.leased++
 		b.counters.Leased++
 	default:
 		return false
@@ -68,15 +68,15 @@
 }
 
 // releaseConcurrent ends one unit. Units that other members may then use are ended before those of the reservation.
-func (b *base) releaseConcurrent(a *account) {
-	switch c := &a.concurrency; {
-	case c.expired > 0:
-		c.expired--
-	case c.leased > 0:
-		c.leased--
-	case c.reserved > 0:
-		c.reserved--
-		a.reservationUses = append(a.reservationUses, b.now) // the end has effect within the window
+func (b *base) releaseConcurrent(account *account) {
+	switch holding := &account.concurrency; {
+	case holding.expired > 0:
+		holding.expired--
+	case holding.leased > 0:
+		holding.leased--
+	case holding.reserved > 0:
+		holding.reserved--
+		account.reservationUses = append(account.reservationUses, b.now) // the end has effect within the window
 	}
 }
 
@@ -87,16 +87,16 @@
 		return actions
 	}
 	for _, id := range b.ids() {
-		a := b.account(id)
-		if !a.isConcurrencyLimit() {
+		account := b.account(id)
+		if !account.isConcurrencyLimit() {
 			continue
 		}
-		c := &a.concurrency
-		units := c.expired
-		if c.leased > 0 && b.isExpiring(a) {
-			units += c.leased
+		holding := &account.concurrency
+		units := holding.expired
+		if holding.leased > 0 && b.isExpiring(account) {
+			units += holding.leased
 		}
-		units += max(c.reserved-b.shares(a).reserved, 0)
+		units += max(holding.reserved-b.shares(account).reserved, 0)
 		if units > 0 {
 			actions = append(actions, LeaseExpiring{id, units})
 		}
@@ -112,19 +112,20 @@
 	}
 	var accounts []*account
 	for _, id := range b.ids() {
-		a := b.account(id)
-		if c := &a.concurrency; a.isConcurrencyLimit() && c.leased+c.idle+c.recordedByLeader > 0 {
-			accounts = append(accounts, a)
+		account := b.account(id)
+		if holding := &account.concurrency; account.isConcurrencyLimit() &&
+			holding.leased+holding.idle+holding.recordedByLeader > 0 {
+			accounts = append(accounts, account)
 		}
 	}
 	slices.SortStableFunc(accounts, func(x, y *account) int {
 		return int(x.concurrency.leaseEnd - y.concurrency.leaseEnd)
 	})
-	for _, a := range accounts[:min(len(accounts), MaxEntries)] {
-		if !a.hasPendingRequest {
-			a.concurrency.idle = 0
+	for _, account := range accounts[:min(len(accounts), MaxEntries)] {
+		if !account.hasPendingRequest {
+			account.concurrency.idle = 0
 		}
-		held = append(held, Amount{ID: a.ID, Units: a.concurrency.leased + a.concurrency.idle})
+		held = append(held, Amount{ID: account.ID, Units: account.concurrency.leased + account.concurrency.idle})
 	}
 	return held
 }
@@ -134,27 +135,27 @@
 // request counts.
 func (b *base) recordConcurrencyRenewal(request pendingRequest, isRenewed, isLatest bool) {
 	for _, held := range request.concurrencyHeld {
-		a := b.account(held.ID)
-		if a == nil || !isLatest {
+		account := b.account(held.ID)
+		if account == nil || !isLatest {
 			continue
 		}
-		c := &a.concurrency
-		c.recordedByLeader = held.Units
-		if holding := c.leased + c.idle; isRenewed && holding > 0 && held.Units >= holding {
-			c.leaseEnd = max(c.leaseEnd, request.sentAt+a.rule.ConcurrencyLeaseTerm)
+		holding := &account.concurrency
+		holding.recordedByLeader = held.Units
+		if leasedUnits := holding.leased + holding.idle; isRenewed && leasedUnits > 0 && held.Units >= leasedUnits {
+			holding.leaseEnd = max(holding.leaseEnd, request.sentAt+account.rule.ConcurrencyLeaseTerm)
 		}
 	}
 }
 
 // acceptConcurrencyLease accepts a grant of a concurrency limit. All leases of a limit end with the one that expires
 // first.
-func (b *base) acceptConcurrencyLease(a *account, requestedAt time.Duration, units int) {
-	expiry, c := requestedAt+a.rule.ConcurrencyLeaseTerm, &a.concurrency
+func (b *base) acceptConcurrencyLease(account *account, requestedAt time.Duration, units int) {
+	expiry, c := requestedAt+account.rule.ConcurrencyLeaseTerm, &account.concurrency
 	if c.leased+c.idle > 0 {
 		expiry = min(expiry, c.leaseEnd)
 	}
 	if expiry > b.now {
-		c.idle, c.leaseEnd, a.deniedAt = c.idle+max(units, 0), expiry, 0
+		c.idle, c.leaseEnd, account.deniedAt = c.idle+max(units, 0), expiry, 0
 		c.recordedByLeader += units
 	}
 }
@@ -202,30 +203,31 @@
 }
 
 // availableConcurrencyUnits returns how many units of a concurrency limit the leader may lease now.
-func (l *leader) availableConcurrencyUnits(a *account, hasQuorum bool) int {
-	earliest := l.quorumSince + l.settings.withDrift(a.rule.ConcurrencyLeaseTerm+a.Window)
+func (l *leader) availableConcurrencyUnits(account *account, hasQuorum bool) int {
+	earliest := l.quorumSince + l.settings.withDrift(account.rule.ConcurrencyLeaseTerm+account.Window)
 	if !hasQuorum || l.now < earliest && l.fault != faultNoConcurrencyTakeoverDelay {
 		return 0
 	}
-	limitShares := l.shares(a)
-	return limitShares.limit - limitShares.allReserved - l.outstandingUnits(a.ID) - l.leasedConcurrencyUnits(a.ID)
+	limitShares := l.shares(account)
+	return limitShares.limit - limitShares.allReserved - l.outstandingUnits(account.ID) -
+		l.leasedConcurrencyUnits(account.ID)
 }
 
 // renewConcurrencyLeases records the units that a member reports as held, and renews their leases.
 func (l *leader) renewConcurrencyLeases(from int, request *LeaseRequest) {
 	for _, held := range request.ConcurrencyHeld {
-		a := l.account(held.ID)
-		if a == nil || !a.isConcurrencyLimit() || held.Units < 0 {
+		account := l.account(held.ID)
+		if account == nil || !account.isConcurrencyLimit() || held.Units < 0 {
 			continue
 		}
 		key := concurrencyLeaseKey{held.ID, from, request.Incarnation}
-		l.renewConcurrencyLease(key, a, held.Units, request.Acknowledged)
+		l.renewConcurrencyLease(key, account, held.Units, request.Acknowledged)
 	}
 }
 
 // renewConcurrencyLease records the units that a member holds of one concurrency limit. Units that it no longer holds
 // were ended before it sent the request, and may have effect for one more window.
-func (l *leader) renewConcurrencyLease(key concurrencyLeaseKey, a *account, units int, acknowledged uint64) {
+func (l *leader) renewConcurrencyLease(key concurrencyLeaseKey, account *account, units int, acknowledged uint64) {
 	lease := l.concurrencyLeases[key]
 	if lease == nil {
 		lease = &concurrencyLease{}
@@ -235,10 +237,10 @@
 	lease.pending = slices.DeleteFunc(lease.pending, func(p pendingLease) bool { return p.seq <= acknowledged })
 	if endedUnits := unitsBefore - lease.totalUnits(); endedUnits > 0 {
 		l.recordGrant(&leaderGrant{id: key.id, node: key.node, incarnation: key.incarnation, units: endedUnits,
-			effectUntil: l.now + l.settings.withDrift(a.Window)})
+			effectUntil: l.now + l.settings.withDrift(account.Window)})
 	}
 	if lease.totalUnits() > 0 {
-		lease.effectUntil = l.now + l.settings.withDrift(a.rule.ConcurrencyLeaseTerm+a.Window)
+		lease.effectUntil = l.now + l.settings.withDrift(account.rule.ConcurrencyLeaseTerm+account.Window)
 		l.concurrencyLeases[key] = lease
 	} else {
 		delete(l.concurrencyLeases, key)
@@ -246,17 +248,19 @@
 }
 
 // leaseConcurrency leases units of a concurrency limit in the response to a request.
-func (l *leader) leaseConcurrency(from int, request *LeaseRequest, a *account, wanted int, hasQuorum bool) (units int) {
-	if units = min(wanted, maxWantedUnits, l.availableConcurrencyUnits(a, hasQuorum)); units <= 0 {
+func (l *leader) leaseConcurrency(
+	from int, request *LeaseRequest, account *account, wanted int, hasQuorum bool,
+) (units int) {
+	if units = min(wanted, maxWantedUnits, l.availableConcurrencyUnits(account, hasQuorum)); units <= 0 {
 		return 0
 	}
-	key := concurrencyLeaseKey{a.ID, from, request.Incarnation}
+	key := concurrencyLeaseKey{account.ID, from, request.Incarnation}
 	lease := l.concurrencyLeases[key]
 	if lease == nil {
 		lease = &concurrencyLease{}
 		l.concurrencyLeases[key] = lease
 	}
 	lease.pending = append(lease.pending, pendingLease{request.Seq, units})
-	lease.effectUntil = l.now + l.settings.withDrift(a.rule.ConcurrencyLeaseTerm+a.Window)
+	lease.effectUntil = l.now + l.settings.withDrift(account.rule.ConcurrencyLeaseTerm+account.Window)
 	return units
 }
--- a/budget/follower.go
+++ b/budget/follower.go
@@ -72,14 +72,15 @@
 // available implements Member.Available. For a part of a heartbeat interval after a denial (see denialsPerHeartbeat) no
 // new request is sent, and the result is 0.
 func (f *follower) available(id ID) int {
-	a := f.account(id)
-	if a == nil {
+	account := f.account(id)
+	if account == nil {
 		return 0
 	}
-	if units := max(f.availableReservation(a), 0) + a.unusedGranted() + a.concurrency.idle; units > 0 {
+	if units := max(f.availableReservation(account), 0) + account.unusedGranted() +
+		account.concurrency.idle; units > 0 {
 		return units
 	}
-	wasDenied := a.deniedAt > 0 && f.now < a.deniedAt+f.settings.HeartbeatInterval/denialsPerHeartbeat
+	wasDenied := account.deniedAt > 0 && f.now < account.deniedAt+f.settings.HeartbeatInterval/denialsPerHeartbeat
 	if !f.isResponsive(f.leaderIndex) || f.isLeaving || wasDenied {
 		return 0
 	}
@@ -89,14 +90,14 @@
 // request requests units if none is available, and reports whether a RequestAnswered will follow.
 func (f *follower) request(id ID, units int) bool {
 	available := f.available(id)
-	if a := f.accounts[id]; a != nil && available <= 0 {
+	if account := f.accounts[id]; account != nil && available <= 0 {
 		for range units {
-			a.recordDemand(f.now, demandHistoryFactor*f.maxWantedUnits)
+			account.recordDemand(f.now, demandHistoryFactor*f.maxWantedUnits)
 		}
 		f.counters.Denied += int64(units)
 		if available < 0 {
-			a.unsentUnits += units
-			a.hasPendingRequest = true
+			account.unsentUnits += units
+			account.hasPendingRequest = true
 			f.unansweredRequests[id] = true
 		}
 	}
@@ -211,8 +212,8 @@
 
 // mustListCount returns the number of budgets of rules that a request has to list if it delegates the unlisted ones.
 func (f *follower) mustListCount() (count int) {
-	for _, a := range f.accounts {
-		if a.rule != nil && a.allowsDelegation() && !f.account(a.ID).isIdle() {
+	for _, account := range f.accounts {
+		if account.rule != nil && account.allowsDelegation() && !f.account(account.ID).isIdle() {
 			count++
 		}
 	}
@@ -223,59 +224,59 @@
 // delegated without being listed.
 func (f *follower) addDelegated(request *LeaseRequest, until time.Duration, maxListed int) {
 	for _, id := range f.ids() {
-		a := f.account(id)
+		account := f.account(id)
 		isFull := len(request.Delegated) >= maxListed
-		if a.rule != nil {
+		if account.rule != nil {
 			isFull = !request.DelegatesUnlisted
 		}
-		if request.Leader == 0 || !a.allowsDelegation() || isFull {
+		if request.Leader == 0 || !account.allowsDelegation() || isFull {
 			continue
 		}
-		reserved := f.shares(a).reserved
-		if a.rule != nil && a.isIdle() {
-			a.delegate(reserved, until)
-		} else if units := f.unneededReservation(a, reserved); units > 0 || a.rule != nil {
+		reserved := f.shares(account).reserved
+		if account.rule != nil && account.isIdle() {
+			account.delegate(reserved, until)
+		} else if units := f.unneededReservation(account, reserved); units > 0 || account.rule != nil {
 			request.Delegated = append(request.Delegated, Amount{ID: id, Units: max(units, 0)})
-			a.delegate(max(units, 0), until)
+			account.delegate(max(units, 0), until)
 		}
 	}
 }
 
 // unneededReservation returns the part of a reservation that is neither in use nor, according to the recent demand,
 // needed soon.
-func (f *follower) unneededReservation(a *account, reserved int) int {
+func (f *follower) unneededReservation(account *account, reserved int) int {
 	switch {
 	case f.fault == faultUsedUnitsDelegated:
 		return reserved
 	case f.isLeaving:
-		return reserved - len(a.reservationUses)
+		return reserved - len(account.reservationUses)
 	}
-	return reserved - max(len(a.reservationUses), len(a.recentDemand))
+	return reserved - max(len(account.reservationUses), len(account.recentDemand))
 }
 
 // releaseGrants releases all grants.
 func (f *follower) releaseGrants() {
 	for _, id := range f.ids() {
-		a := f.accounts[id]
-		for i := range a.grants {
-			f.pendingReleases = append(f.pendingReleases, a.grants[i].release())
+		account := f.accounts[id]
+		for i := range account.grants {
+			f.pendingReleases = append(f.pendingReleases, account.grants[i].release())
 		}
-		a.grants = nil
+		account.grants = nil
 	}
 }
 
 // addWanted adds the wanted units of at most MaxEntries budgets.
 func (f *follower) addWanted(request *LeaseRequest) {
 	for _, id := range slices.SortedFunc(maps.Keys(f.unansweredRequests), ID.Compare) {
-		if a := f.account(id); a.unsentUnits > 0 && len(request.Wanted) < MaxEntries {
-			request.Wanted = append(request.Wanted, Amount{ID: id, Units: min(a.unsentUnits, f.maxWantedUnits)})
-			a.unsentUnits, a.lastRequestSeq = 0, f.lastSeq+1
+		if account := f.account(id); account.unsentUnits > 0 && len(request.Wanted) < MaxEntries {
+			request.Wanted = append(request.Wanted, Amount{ID: id, Units: min(account.unsentUnits, f.maxWantedUnits)})
+			account.unsentUnits, account.lastRequestSeq = 0, f.lastSeq+1
 		}
 	}
 }
 
 // addReleases adds at most MaxEntries releases of the leader's grants. It drops the releases of other leaders' grants:
-// each leader numbers its own grants, so a leader would mistake them for releases of its own.
+// each leader numbers its own grants, so a leader would take them for releases of its own grants.
 func (f *follower) addReleases(request *LeaseRequest, leader uint64) {
 	f.pendingReleases = slices.DeleteFunc(f.pendingReleases, func(release pendingRelease) bool {
 		return release.grantor != leader
@@ -354,24 +355,24 @@
 		// If this is not the latest response, a later request may have reported to the leader that it did not
 		// arrive.
 		isAccepted := isLatest || f.fault == faultLateConcurrencyGrantsAccepted
-		if a := f.accounts[grant.ID]; a != nil && a.isConcurrencyLimit() && isAccepted {
-			f.acceptConcurrencyLease(a, request.sentAt, grant.Units)
+		if account := f.accounts[grant.ID]; account != nil && account.isConcurrencyLimit() && isAccepted {
+			f.acceptConcurrencyLease(account, request.sentAt, grant.Units)
 		}
 	}
 	f.lastResponseSeq = max(f.lastResponseSeq, response.Seq)
 	expiry := f.grantExpiry(request, response, previous)
 	for _, grant := range response.Grants {
-		a := f.accounts[grant.ID]
-		if a != nil && a.isConcurrencyLimit() {
+		account := f.accounts[grant.ID]
+		if account != nil && account.isConcurrencyLimit() {
 			continue
 		}
-		if a == nil || grant.Units <= 0 || expiry <= f.now {
+		if account == nil || grant.Units <= 0 || expiry <= f.now {
 			f.pendingReleases = append(f.pendingReleases, pendingRelease{Release{Grant: grant.Number},
 				response.Incarnation})
 			continue
 		}
-		a.deniedAt = 0
-		a.grants = append(a.grants,
+		account.deniedAt = 0
+		account.grants = append(account.grants,
 			heldGrant{grantor: response.Incarnation, number: grant.Number, units: grant.Units, until: expiry})
 	}
 }
@@ -394,13 +395,13 @@
 // of the response.
 func (f *follower) reportAnswered(seq uint64) {
 	for _, id := range slices.SortedFunc(maps.Keys(f.unansweredRequests), ID.Compare) {
-		a := f.accounts[id]
-		if a.unsentUnits > 0 || seq < a.lastRequestSeq {
+		account := f.accounts[id]
+		if account.unsentUnits > 0 || seq < account.lastRequestSeq {
 			continue
 		}
 		delete(f.unansweredRequests, id)
-		if a.hasPendingRequest = false; a.unusedGranted()+a.concurrency.idle == 0 {
-			a.deniedAt = f.now
+		if account.hasPendingRequest = false; account.unusedGranted()+account.concurrency.idle == 0 {
+			account.deniedAt = f.now
 		}
 		f.actions = append(f.actions, RequestAnswered{id})
 	}
@@ -416,9 +417,9 @@
 	effectEnd := f.now + f.settings.withDrift(max(response.GrantsExpireIn, 0))
 	if f.delegatedTo == response.Incarnation {
 		f.delegatedUntil = min(f.delegatedUntil, effectEnd)
-		for _, a := range f.accounts {
-			for i := range a.delegations {
-				a.delegations[i].until = min(a.delegations[i].until, effectEnd)
+		for _, account := range f.accounts {
+			for i := range account.delegations {
+				account.delegations[i].until = min(account.delegations[i].until, effectEnd)
 			}
 		}
 	}
--- a/budget/leader.go
+++ b/budget/leader.go
@@ -53,8 +53,8 @@
 		response.RenewsConcurrencyLeases = hasQuorum
 	}
 	for _, wanted := range request.Wanted {
-		if a := l.account(wanted.ID); a != nil && a.isConcurrencyLimit() {
-			if units := l.leaseConcurrency(from, request, a, wanted.Units, hasQuorum && isCurrent); units > 0 {
+		if account := l.account(wanted.ID); account != nil && account.isConcurrencyLimit() {
+			if units := l.leaseConcurrency(from, request, account, wanted.Units, hasQuorum && isCurrent); units > 0 {
 				response.Grants = append(response.Grants, Grant{ID: wanted.ID, Units: units})
 			}
 			continue
@@ -178,8 +178,8 @@
 // and how long its grants may have effect.
 func (l *leader) leavingResponses(exceptIndex int) (responses []SendResponse) {
 	lastEffect := l.now
-	for _, g := range l.grants {
-		lastEffect = max(lastEffect, g.effectUntil)
+	for _, grant := range l.grants {
+		lastEffect = max(lastEffect, grant.effectUntil)
 	}
 	for _, node := range slices.Sorted(maps.Keys(l.followers)) {
 		if record := l.followers[node]; node != exceptIndex && l.now < record.delegatedUntil {
--- a/budget/ledger.go
+++ b/budget/ledger.go
@@ -88,29 +88,29 @@
 }
 
 // recordGrant records a grant. Its units are not available again until the end of their effect.
-func (l *leader) recordGrant(g *leaderGrant) {
-	heap.Push(&l.grants, g)
-	if g.number != 0 {
-		l.grantsByNumber[g.number] = g
+func (l *leader) recordGrant(grant *leaderGrant) {
+	heap.Push(&l.grants, grant)
+	if grant.number != 0 {
+		l.grantsByNumber[grant.number] = grant
 	}
-	l.totalsOf(g.id).outstanding += g.units
+	l.totalsOf(grant.id).outstanding += grant.units
 }
 
 // release records the end of a grant. Its used units have effect for a window after the last use. SinceUse is a lower
 // bound of the time since that use, because the message was sent earlier.
 func (l *leader) release(from int, incarnation uint64, release Release) {
-	g := l.grantsByNumber[release.Grant]
-	if g == nil || g.node != from || g.incarnation != incarnation {
+	grant := l.grantsByNumber[release.Grant]
+	if grant == nil || grant.node != from || grant.incarnation != incarnation {
 		return
 	}
-	used := min(max(release.Used, 0), g.units)
-	l.totalsOf(g.id).outstanding -= g.units - used
-	g.units = used
-	if a := l.account(g.id); a != nil {
+	used := min(max(release.Used, 0), grant.units)
+	l.totalsOf(grant.id).outstanding -= grant.units - used
+	grant.units = used
+	if account := l.account(grant.id); account != nil {
 		sinceUse := max(time.Duration(release.SinceUse), 0)
 		sinceUse = time.Duration(float64(sinceUse) * (1 - driftSafetyFactor*l.settings.MaxClockDrift))
-		g.effectUntil = min(g.effectUntil, l.now+l.settings.withDrift(a.Window)-sinceUse)
-		heap.Fix(&l.grants, g.heapIndex)
+		grant.effectUntil = min(grant.effectUntil, l.now+l.settings.withDrift(account.Window)-sinceUse)
+		heap.Fix(&l.grants, grant.heapIndex)
 	}
 }
 
@@ -121,10 +121,10 @@
 		units = totals.outstanding
 	}
 	if l.fault == faultFailureDetectorTrusted {
-		for _, g := range l.grants {
-			record := l.followers[g.node]
-			if g.id == id && record != nil && record.delegatedUntil < l.now+l.settings.maxEffectDuration() {
-				units -= g.units
+		for _, grant := range l.grants {
+			record := l.followers[grant.node]
+			if grant.id == id && record != nil && record.delegatedUntil < l.now+l.settings.maxEffectDuration() {
+				units -= grant.units
 			}
 		}
 	}
@@ -134,17 +134,17 @@
 // available returns the number of units of a budget that the leader may grant: the units delegated to it until after
 // the effect of a grant, and with a quorum the units that are not reserved to any member, less the outstanding units.
 func (l *leader) available(id ID, hasQuorum bool) int {
-	a := l.account(id)
-	if a == nil {
+	account := l.account(id)
+	if account == nil {
 		return 0
 	}
 	l.expire()
-	limitShares := l.shares(a)
+	limitShares := l.shares(account)
 	units, totals := 0, l.totals[id]
 	if totals != nil {
 		units = totals.delegated
 	}
-	if a.rule != nil && a.allowsDelegation() && len(l.unlistedDelegators) > 0 {
+	if account.rule != nil && account.allowsDelegation() && len(l.unlistedDelegators) > 0 {
 		units += l.unlistedDelegated(id, limitShares.allReserved)
 		if totals != nil {
 			units -= totals.listedReservations
@@ -213,10 +213,10 @@
 // the delegations and grants that have expired.
 func (l *leader) expire() {
 	for len(l.grants) > 0 && l.grants[0].effectUntil <= l.now {
-		g := heap.Pop(&l.grants).(*leaderGrant)
-		delete(l.grantsByNumber, g.number)
-		l.totalsOf(g.id).outstanding -= g.units
-		l.dropEmptyTotals(g.id)
+		grant := heap.Pop(&l.grants).(*leaderGrant)
+		delete(l.grantsByNumber, grant.number)
+		l.totalsOf(grant.id).outstanding -= grant.units
+		l.dropEmptyTotals(grant.id)
 	}
 	lastEffect := l.now + l.settings.maxEffectDuration()
 	for ; l.expiringSoonCount < len(l.expiries) &&
--- a/budget/member.go
+++ b/budget/member.go
@@ -78,15 +78,15 @@
 // Acquire takes one unit if one is available, and reports whether it did.
 func (m *Member) Acquire(now time.Duration, id ID) bool {
 	m.now = max(m.now, now)
-	a := m.account(id)
-	return a != nil && m.acquire(a)
+	account := m.account(id)
+	return account != nil && m.acquire(account)
 }
 
 // Release returns one unit of a concurrency limit that is no longer in use.
 func (m *Member) Release(now time.Duration, id ID) {
 	m.now = max(m.now, now)
-	if a := m.account(id); a != nil && a.isConcurrencyLimit() {
-		m.releaseConcurrent(a)
+	if account := m.account(id); account != nil && account.isConcurrencyLimit() {
+		m.releaseConcurrent(account)
 	}
 }
 
@@ -94,8 +94,8 @@
 // It counts the unit even if none is available.
 func (m *Member) Adopt(now time.Duration, id ID) {
 	m.now = max(m.now, now)
-	if a := m.account(id); a != nil && a.isConcurrencyLimit() {
-		a.concurrency.reserved++
+	if account := m.account(id); account != nil && account.isConcurrencyLimit() {
+		account.concurrency.reserved++
 	}
 }
 
--- a/budget/parent.go
+++ b/budget/parent.go
@@ -244,8 +244,8 @@
 			p.group.now = max(p.group.now, now)
 			p.group.follower.request(wanted.ID, wanted.Units)
 		}
-		a := p.group.accounts[wanted.ID]
-		mayGrantMore = mayGrantMore || a != nil && a.hasPendingRequest
+		account := p.group.accounts[wanted.ID]
+		mayGrantMore = mayGrantMore || account != nil && account.hasPendingRequest
 	}
 	return mayGrantMore
 }
