--- a/internal/control/slowstart.go
+++ b/internal/control/slowstart.go
@@ -54,9 +54,9 @@
 	return ok
 }
 
-// UpdateLimits sets the limits of servers in slow start by the endpoint list and the time: in a window all nodes
-// together may send each what it surely bears, and one attempt more. docs/design.md derives the bound.
-func (m *Manager) UpdateLimits() {
+// UpdateSlowStartLimits sets the limits of servers in slow start by the endpoint list and the time: in a window all
+// nodes together may send each what it surely bears, and one attempt more. docs/design.md derives the bound.
+func (m *Manager) UpdateSlowStartLimits() {
 	if m == nil {
 		return
 	}
@@ -111,7 +111,7 @@
 	}
 	m.slowStart.quotas[id] = quota
 	delete(m.slowStart.dropAt, quota)
-	rampLimit, baseLimit := settings.WarmServerLimit(ready), 1
+	rampLimit, baseLimit := settings.WarmServerAttemptLimit(ready), 1
 	if m.slowStart.firstStart[id] != start { // it has restarted, which other nodes may not know yet
 		rampLimit, baseLimit = rampLimit*balance.NotifiedNodesFraction, 0
 	}
