--- a/internal/settings/balance.go
+++ b/internal/settings/balance.go
@@ -2,7 +2,7 @@
 
 import "brassmux/balance"
 
-// Values that are missing here are taken for the strictest.
+// Settings without an entry map to the zero value, which is the strictest one.
 var (
 	idempotencies = map[string]balance.Idempotency{
 		IdempotentAlways: balance.Idempotent,
@@ -14,23 +14,24 @@
 	}
 )
 
+// Cores of a server with weight 1, where weights are numbers of cores and where they are relative sizes.
 const (
-	coresOfNominalWeight = 1
-	coresOfOtherWeight   = 2
+	coresPerNominalWeight = 1
+	coresPerOtherWeight   = 2
 )
 
 // BalanceConfig returns the configuration of package balance.
 func (s *Site) BalanceConfig() balance.Config {
-	// A health check without a load report only costs work.
+	// A health check is useful only for the load report that it returns.
 	healthChecks := s.Limits.HealthChecksAllowed && s.Report.Via != ReportNone
-	result := balance.Config{
+	config := balance.Config{
 		NodeCount:            s.NodeCount,
 		NodeIndex:            s.NodeIndex,
 		Classes:              map[string]balance.Class{},
 		EndpointsPushed:      s.MembershipMode == MembershipPushed,
 		Zone:                 s.Zone,
 		CrossZoneCost:        s.Prices.CrossZone,
-		CoresPerWeight:       s.coresOfWeight(),
+		CoresPerWeight:       s.coresPerWeight(),
 		LateMessagesReported: s.Workload.LateMessagesReported,
 		MaxAttempts:          s.Limits.MaxAttempts,
 		HealthChecksAllowed:  healthChecks,
@@ -43,32 +44,33 @@
 		TimeoutUncertainty:   Microseconds(max(s.Servers.TimeoutUncertaintyMicros, 0)),
 		KeepUnlistedServers:  s.Servers.KeepUnlistedServers,
 		StartTimeUncertainty: Microseconds(max(s.Servers.StartTimeUncertaintyMicros, 0)),
-		// A server's own report knows its load better than what the nodes have summed up.
+		// Gossip is a substitute for load reports: servers measure their load more accurately than the sums that nodes
+		// exchange.
 		GossipEnabled: s.Limits.GossipAllowed && s.Workload.ConnectionLoadReported && !healthChecks,
 	}
 	if s.Limits.RetryAfterAllowed {
-		result.MaxRetryAfter = Microseconds(s.Limits.MaxRetryAfterMicros)
+		config.MaxRetryAfter = Microseconds(s.Limits.MaxRetryAfterMicros)
 	}
 	for _, quota := range s.Workload.ConnectionQuotas {
-		result.ConnectionCapacity += max(quota, 0)
+		config.ConnectionCapacity += max(quota, 0)
 	}
-	// Without gossip or a margin the time of an attempt is known by experience.
-	useObjectives := result.GossipEnabled || result.TimeoutUncertainty > 0
+	// Without gossip and timeout uncertainty, the balancer learns the duration of attempts from experience.
+	useObjectives := config.GossipEnabled || config.TimeoutUncertainty > 0
 	for i, class := range s.Classes {
-		result.Classes[class.Name] = s.balanceClass(i, useObjectives)
+		config.Classes[class.Name] = s.balanceClass(i, useObjectives)
 	}
-	return result
+	return config
 }
 
-// coresOfWeight returns the number of cores of a server with weight 1.
-func (s *Site) coresOfWeight() float64 {
+// coresPerWeight returns the number of cores per unit of server weight.
+func (s *Site) coresPerWeight() float64 {
 	if s.WeightKind == WeightNominal || s.WeightKind == WeightRough {
-		return coresOfNominalWeight
+		return coresPerNominalWeight
 	}
-	return coresOfOtherWeight
+	return coresPerOtherWeight
 }
 
-// balanceClass returns the class with an index, with its latency objective where that is used.
+// balanceClass converts the class at the given index. It includes the connect objective only if useObjective is set.
 func (s *Site) balanceClass(index int, useObjective bool) balance.Class {
 	class := &s.Classes[index]
 	result := balance.Class{
--- a/internal/settings/serverid.go
+++ b/internal/settings/serverid.go
@@ -9,18 +9,18 @@
 	"brassmux/balance"
 )
 
-// ServerID is a server's ID as the site writes it: a number, or a name that is hashed to one. All nodes and their
-// restarts come to the same number, on which their rankings depend.
+// ServerID is a server's ID as configured at the site: a number, or a name that is hashed to one. Rankings of servers
+// depend on the ID, so all nodes must compute the same number, also after a restart.
 type ServerID balance.ServerID
 
-// ServerIDError reports a server's ID that is neither a number nor a name.
+// ServerIDError reports a server ID that is neither an unsigned integer nor a non-empty string.
 type ServerIDError struct{ JSON string }
 
 func (e *ServerIDError) Error() string {
-	return fmt.Sprintf("id %s is neither a number nor a name of a server", e.JSON)
+	return fmt.Sprintf("server id %s is neither an unsigned integer nor a non-empty string", e.JSON)
 }
 
-// UnmarshalJSON reads either form. It returns a *ServerIDError for any other.
+// UnmarshalJSON decodes an unsigned integer or a non-empty string. It returns a *ServerIDError for any other value.
 func (id *ServerID) UnmarshalJSON(data []byte) error {
 	var number uint64
 	if json.Unmarshal(data, &number) == nil {
@@ -35,5 +35,5 @@
 	return nil
 }
 
-// HashServerID returns the ID of a server with a name.
+// HashServerID returns the ID of the server with the given name.
 func HashServerID(name string) ServerID { return ServerID(xxhash.Sum64String(name)) }
