--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter connects package balance with the simulator: it reads batches of events from standard input and
-// writes the actions to standard output. It exits with 1 where the input is faulty.
+// Command adapter runs package balance in the simulator. It reads batches of events from standard input and writes the
+// resulting actions to standard output. It exits with status 1 if the input is invalid or a reply cannot be written.
 package main
 
 import (
--- a/internal/sim/gossip/gossip.go
+++ b/internal/sim/gossip/gossip.go
@@ -1,7 +1,7 @@
-// Package gossip is the simulator's encoding of the messages that nodes send one another. A message is a short text of
-// printable ASCII, as each byte costs its receivers: a header with the version, the kind and the width of the server's
-// ID; the sender's incarnation; the server; and the load and groups that the kind has. Numbers are in base 90, least
-// digit first. What the messages mean is decided in package balance.
+// Package gossip encodes the messages that nodes exchange in the simulator. A message is printable ASCII text and kept
+// short, since each byte has a cost at every receiver. It consists of a header with the version, the kind and the width
+// of the server ID, the sender's incarnation, the server ID, the load if the kind has one, and the groups. Numbers are
+// in base 90, least significant digit first. Package balance defines the meaning of the messages.
 package gossip
 
 import (
@@ -11,10 +11,10 @@
 	"brassmux/balance"
 )
 
-// MaxLength is the most bytes of a message that a deployment allows.
+// MaxLength is the maximum length of a message in bytes that a deployment allows.
 const MaxLength = 256
 
-// ErrFormat reports a text that Encode does not write.
+// ErrFormat reports a text that is not an output of Encode.
 var ErrFormat = errors.New("not a gossip message of this version")
 
 const (
@@ -25,11 +25,11 @@
 	kindsPerVersion = 4
 	maxGroups       = 100
 
-	// Loads are written as a logarithm, by steps of 0.2 %. Up to minLoad they count as none.
+	// Loads are encoded on a logarithmic scale with steps of 0.2 %. Loads up to minLoad are encoded as 0.
 	minLoad  = 100
 	loadStep = 1.002
 
-	// IDs below maxNarrowID, as the simulator has them, take fewer digits than hashes of names.
+	// IDs below maxNarrowID, which the simulator uses, have fewer digits than hashes of names.
 	maxNarrowID    = 1 << 32
 	narrowIDDigits = 5
 	wideIDDigits   = 10
@@ -37,25 +37,25 @@
 	groupDigits    = 2
 )
 
-// Encode writes a message. Groups beyond 100 are left out.
-func Encode(m balance.GossipMessage) string {
-	wide, idDigits := 0, narrowIDDigits
-	if m.Server >= maxNarrowID {
-		wide, idDigits = 1, wideIDDigits
+// Encode returns the text of a message. It includes at most 100 groups and omits the rest.
+func Encode(msg balance.GossipMessage) string {
+	wideFlag, idDigits := 0, narrowIDDigits
+	if msg.Server >= maxNarrowID {
+		wideFlag, idDigits = 1, wideIDDigits
 	}
-	out := appendNumber(nil, uint64(version*kindsPerVersion*2+int(m.Kind)*2+wide), 1)
-	out = appendNumber(out, uint64(m.Incarnation%base), 1)
-	out = appendNumber(out, uint64(m.Server), idDigits)
-	if m.Kind != balance.GossipLoadRequest {
-		out = appendNumber(out, encodeLoad(m.Load), loadDigits)
+	out := appendNumber(nil, uint64(version*kindsPerVersion*2+int(msg.Kind)*2+wideFlag), 1)
+	out = appendNumber(out, uint64(msg.Incarnation%base), 1)
+	out = appendNumber(out, uint64(msg.Server), idDigits)
+	if msg.Kind != balance.GossipLoadRequest {
+		out = appendNumber(out, encodeLoad(msg.Load), loadDigits)
 	}
-	for _, group := range m.Groups[:min(len(m.Groups), maxGroups)] {
+	for _, group := range msg.Groups[:min(len(msg.Groups), maxGroups)] {
 		out = appendNumber(out, uint64(group), groupDigits)
 	}
 	return string(out)
 }
 
-// appendNumber appends the lowest digits of n.
+// appendNumber appends the given number of least significant digits of n.
 func appendNumber(out []byte, n uint64, digits int) []byte {
 	for range digits {
 		out, n = append(out, byte(firstDigit+n%base)), n/base
@@ -78,39 +78,42 @@
 	return minLoad * math.Pow(loadStep, float64(steps))
 }
 
-// Decode reads a message. It returns ErrFormat for any text that Encode does not write.
+// Decode returns the message of a text. It returns ErrFormat for any text that is not an output of Encode.
 func Decode(text string) (balance.GossipMessage, error) {
 	d := decoder{text: text}
 	if !d.hasOnlyDigits() {
 		return balance.GossipMessage{}, ErrFormat
 	}
 	header := d.number(1)
-	m := balance.GossipMessage{Kind: balance.GossipKind(header / 2 % kindsPerVersion), Incarnation: uint8(d.number(1))}
+	msg := balance.GossipMessage{
+		Kind:        balance.GossipKind(header / 2 % kindsPerVersion),
+		Incarnation: uint8(d.number(1)),
+	}
 	idDigits := narrowIDDigits
 	if header%2 == 1 {
 		idDigits = wideIDDigits
 	}
-	m.Server = balance.ServerID(d.number(idDigits))
-	if m.Kind != balance.GossipLoadRequest {
-		m.Load = decodeLoad(d.number(loadDigits))
+	msg.Server = balance.ServerID(d.number(idDigits))
+	if msg.Kind != balance.GossipLoadRequest {
+		msg.Load = decodeLoad(d.number(loadDigits))
 	}
 	for d.position < len(text) {
-		m.Groups = append(m.Groups, uint16(d.number(groupDigits)))
+		msg.Groups = append(msg.Groups, uint16(d.number(groupDigits)))
 	}
-	isKnown := header/(2*kindsPerVersion) == version && m.Kind <= balance.GossipLoadResponse
-	if d.position != len(text) || !isKnown || Encode(m) != text {
+	isSupported := header/(2*kindsPerVersion) == version && msg.Kind <= balance.GossipLoadResponse
+	if d.position != len(text) || !isSupported || Encode(msg) != text {
 		return balance.GossipMessage{}, ErrFormat
 	}
-	return m, nil
+	return msg, nil
 }
 
-// decoder reads numbers from a text. Its position goes beyond the end of a text that is too short.
+// decoder reads numbers from a text. If the text is too short, the position ends up beyond its end.
 type decoder struct {
 	text     string
 	position int
 }
 
-// hasOnlyDigits reports whether the text has nothing but digits, and no more than a message may have.
+// hasOnlyDigits reports whether the text consists of base 90 digits and is not longer than MaxLength.
 func (d *decoder) hasOnlyDigits() bool {
 	if len(d.text) > MaxLength {
 		return false
@@ -123,14 +126,14 @@
 	return true
 }
 
-// number returns the next number, 0 beyond the end.
-func (d *decoder) number(digits int) (n uint64) {
+// number returns the next number, or 0 if the text ends before its last digit.
+func (d *decoder) number(digits int) (value uint64) {
 	d.position += digits
 	if d.position > len(d.text) {
 		return 0
 	}
 	for i := d.position - 1; i >= d.position-digits; i-- {
-		n = n*base + uint64(d.text[i]-firstDigit)
+		value = value*base + uint64(d.text[i]-firstDigit)
 	}
-	return n
+	return value
 }
--- a/internal/sim/host/host.go
+++ b/internal/sim/host/host.go
@@ -1,5 +1,5 @@
-// Package host runs one instance of package balance for each node of the simulator. The instances share nothing. The
-// protocol is that of package wire.
+// Package host runs an independent instance of package balance for each node of the simulator, and exchanges events and
+// actions with it over the protocol of package wire.
 package host
 
 import (
@@ -10,7 +10,8 @@
 	"brassmux/internal/sim/wire"
 )
 
-// Run answers each batch of in on out until the input ends. It returns the reader's or the writer's error.
+// Run reads batches from in and writes the reply to each to out, until the input ends. It returns the first error of
+// reading or writing.
 func Run(in io.Reader, out io.Writer) error {
 	reader, writer := wire.NewReader(in), wire.NewWriter(out)
 	nodes := instances{}
@@ -33,10 +34,11 @@
 	}
 }
 
-// instances are those that run, by node.
+// instances maps each node to its running instance.
 type instances map[int]*balance.Balancer
 
-// handle appends what the event's node does to actions. An event for a node that does not run does nothing.
+// handle passes an event to the instance of its node and appends the resulting actions. It ignores an event for a node
+// without a running instance.
 func (n instances) handle(now time.Duration, event wire.Event, actions []wire.Action) []wire.Action {
 	switch {
 	case event.Start != nil:
--- a/internal/sim/host/host_test.go
+++ b/internal/sim/host/host_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-const start = `{"TICK":{"at_time_us":1000}}
+const startBatch = `{"TICK":{"at_time_us":1000}}
 {"CREATE":{"node":3,"random_seed":9,"boot_info":{"balancers":1,"a_new_key":[1],"ceilings":{"send_cap":3,` +
 	`"max_open":100,"retry_after":false},"classes":[{"name":"c","effect":"read_like","aim_us":500000}],` +
 	`"membership_mode":"on_request","rules":{"cold_from":0.3},"tick_us":5000}}}
@@ -13,16 +13,16 @@
 {"COMMIT":{}}
 `
 
-const started = `{"SET_TIMER":{"node":3,"offset_us":0,"mark":1}}
+const startReply = `{"SET_TIMER":{"node":3,"offset_us":0,"mark":1}}
 {"DONE":{}}
 `
 
-// goldenBatches are batches and the replies to them.
-var goldenBatches = map[string]struct{ in, out string }{
-	"no input":       {"", ""},
-	"an empty batch": {"{\"TICK\":{\"at_time_us\":1}}\n{\"COMMIT\":{}}\n", "{\"DONE\":{}}\n"},
-	"a start":        {start, started},
-	"a request that is served": {start + `{"TICK":{"at_time_us":2000}}
+// goldenBatches holds batches and the expected replies.
+var goldenBatches = map[string]struct{ input, want string }{
+	"empty input": {"", ""},
+	"empty batch": {"{\"TICK\":{\"at_time_us\":1}}\n{\"COMMIT\":{}}\n", "{\"DONE\":{}}\n"},
+	"start":       {startBatch, startReply},
+	"request served": {startBatch + `{"TICK":{"at_time_us":2000}}
 {"SUBMIT":{"node":3,"request_id":5,"grace_us":2000000,"resource":"k","cls":"c"}}
 {"COMMIT":{}}
 {"TICK":{"at_time_us":3000}}
@@ -31,29 +31,29 @@
 {"TICK":{"at_time_us":4000}}
 {"CLOSED_ATTEMPT":{"node":3,"request_id":5,"round_no":0,"host":8,"ending":1,"duration_us":2000,"final":true}}
 {"COMMIT":{}}
-`, started + `{"ISSUE":{"node":3,"request_id":5,"host":8,"patience_us":1000000}}
+`, startReply + `{"ISSUE":{"node":3,"request_id":5,"host":8,"patience_us":1000000}}
 {"DONE":{}}
 {"DONE":{}}
 {"DONE":{}}
 `},
-	"a request rejected by the only server": {start + `{"TICK":{"at_time_us":2000}}
+	"request rejected by the only server": {startBatch + `{"TICK":{"at_time_us":2000}}
 {"SUBMIT":{"node":3,"request_id":5,"grace_us":2000000,"resource":"k","cls":"c"}}
 {"CLOSED_ATTEMPT":{"node":3,"request_id":5,"round_no":0,"host":8,"ending":2,"duration_us":0}}
 {"TIMED_OUT_CLIENT":{"node":3,"request_id":5}}
 {"COMMIT":{}}
-`, started + `{"ISSUE":{"node":3,"request_id":5,"host":8,"patience_us":1000000}}
+`, startReply + `{"ISSUE":{"node":3,"request_id":5,"host":8,"patience_us":1000000}}
 {"BUSY":{"node":3,"request_id":5}}
 {"DONE":{}}
 `},
-	"a request of an unknown class that may have run": {start + `{"TICK":{"at_time_us":2000}}
+	"possibly executed request of an unknown class": {startBatch + `{"TICK":{"at_time_us":2000}}
 {"SUBMIT":{"node":3,"request_id":5,"grace_us":2000000,"resource":"k","cls":"other"}}
 {"CLOSED_ATTEMPT":{"node":3,"request_id":5,"round_no":0,"host":8,"ending":0,"duration_us":0}}
 {"COMMIT":{}}
-`, started + `{"ISSUE":{"node":3,"request_id":5,"host":8}}
+`, startReply + `{"ISSUE":{"node":3,"request_id":5,"host":8}}
 {"ABORT":{"node":3,"request_id":5}}
 {"DONE":{}}
 `},
-	"events for nodes, requests and hosts that are not known": {start + `{"TICK":{"at_time_us":2000}}
+	"events for unknown nodes, requests and servers": {startBatch + `{"TICK":{"at_time_us":2000}}
 {"SUBMIT":{"node":4,"request_id":5,"grace_us":2000000,"cls":"c"}}
 {"TIMED_OUT_CLIENT":{"node":3,"request_id":99}}
 {"UPDATE_OF":{"node":3,"request_id":99,"round_no":0,"host":77,"topic":2,"x":90.5}}
@@ -62,66 +62,70 @@
 {"SHUTDOWN":{"node":3}}
 {"TIMEOUT_FIRED":{"node":3,"mark":2}}
 {"COMMIT":{}}
-`, started + "{\"DONE\":{}}\n"},
+`, startReply + "{\"DONE\":{}}\n"},
 }
 
+// Guards against changed replies to the simulator, and against failures on events that name unknown objects.
 func TestGoldenBatches(t *testing.T) {
-	for name, c := range goldenBatches {
+	for name, test := range goldenBatches {
 		t.Run(name, func(t *testing.T) {
-			var out strings.Builder
-			if err := Run(strings.NewReader(c.in), &out); err != nil {
+			var output strings.Builder
+			if err := Run(strings.NewReader(test.input), &output); err != nil {
 				t.Fatal(err)
 			}
-			if out.String() != c.out {
-				t.Errorf("got\n%swant\n%s", out.String(), c.out)
+			if output.String() != test.want {
+				t.Errorf("got\n%swant\n%s", output.String(), test.want)
 			}
 		})
 	}
 }
 
-func TestErrorsNameTheLine(t *testing.T) {
+// Guards against invalid input that is accepted, and against errors without its line number.
+func TestRunErrorsIncludeLine(t *testing.T) {
 	const batch = `{"TICK":{"at_time_us":1}}` + "\n"
-	for name, c := range map[string]struct{ in, want string }{
-		"not JSON":             {batch + "{\"SUBMIT\":\n", "line 2: "},
-		"a wrong type":         {batch + `{"SUBMIT":{"node":"three"}}` + "\n", "line 2: "},
-		"no batch":             {`{"COMMIT":{}}` + "\n", "line 1: a batch starts with a TICK"},
-		"a batch in a batch":   {batch + batch, "line 2: a TICK within a batch"},
-		"a tick without time":  {`{"TICK":{}}` + "\n", "line 1: "},
-		"an unknown message":   {batch + `{"HELLO":{}}` + "\n", "line 2: no message of a known name"},
-		"an unknown ending":    {batch + `{"CLOSED_ATTEMPT":{"ending":9}}` + "\n", "line 2: unknown ending 9"},
-		"a line cut short":     {batch + `{"COMMIT":{}}`, "line 2: the line is cut short"},
-		"an end within":        {batch, "line 1: the input ends within a batch"},
-		"an empty line":        {"\n", "line 1: "},
-		"a list, not a record": {"[1]\n", "line 1: "},
+	for name, test := range map[string]struct{ input, wantPrefix string }{
+		"invalid JSON":      {batch + "{\"SUBMIT\":\n", "line 2: "},
+		"wrong type":        {batch + `{"SUBMIT":{"node":"three"}}` + "\n", "line 2: "},
+		"no tick":           {`{"COMMIT":{}}` + "\n", "line 1: a batch must start with a TICK"},
+		"nested batch":      {batch + batch, "line 2: a TICK within a batch"},
+		"tick without time": {`{"TICK":{}}` + "\n", "line 1: "},
+		"unknown message":   {batch + `{"HELLO":{}}` + "\n", "line 2: the line has no known message"},
+		"unknown outcome":   {batch + `{"CLOSED_ATTEMPT":{"ending":9}}` + "\n", "line 2: unknown outcome: ending is 9"},
+		"truncated line":    {batch + `{"COMMIT":{}}`, "line 2: the last line has no line feed"},
+		"truncated batch":   {batch, "line 1: the input ends within a batch"},
+		"empty line":        {"\n", "line 1: "},
+		"array":             {"[1]\n", "line 1: "},
 	} {
 		t.Run(name, func(t *testing.T) {
-			err := Run(strings.NewReader(c.in), new(strings.Builder))
-			if err == nil || !strings.HasPrefix(err.Error(), c.want) {
-				t.Errorf("got %v, want it to start with %q", err, c.want)
+			err := Run(strings.NewReader(test.input), new(strings.Builder))
+			if err == nil || !strings.HasPrefix(err.Error(), test.wantPrefix) {
+				t.Errorf("got %v, want it to start with %q", err, test.wantPrefix)
 			}
 		})
 	}
 }
 
-// Nodes hosted together act as each does alone.
-func TestInstancesShareNothing(t *testing.T) {
-	node := func(n string) string {
-		var in strings.Builder
-		in.WriteString(strings.ReplaceAll(start, `"node":3`, `"node":`+n))
-		for _, id := range []string{"1", "2", "3"} {
-			in.WriteString(`{"TICK":{"at_time_us":2000}}` + "\n" + `{"SUBMIT":{"node":` + n + `,"request_id":` + id +
-				`,"grace_us":900000,"resource":"k` + id + `","cls":"c"}}` + "\n{\"COMMIT\":{}}\n")
+// Guards against state that instances share: a node must act in the same way alone and next to another node.
+func TestInstancesAreIndependent(t *testing.T) {
+	nodeInput := func(nodeID string) string {
+		var input strings.Builder
+		input.WriteString(strings.ReplaceAll(startBatch, `"node":3`, `"node":`+nodeID))
+		for _, requestID := range []string{"1", "2", "3"} {
+			input.WriteString(`{"TICK":{"at_time_us":2000}}` + "\n" +
+				`{"SUBMIT":{"node":` + nodeID + `,"request_id":` + requestID +
+				`,"grace_us":900000,"resource":"k` + requestID + `","cls":"c"}}` + "\n{\"COMMIT\":{}}\n")
 		}
-		return in.String()
+		return input.String()
 	}
-	run := func(in string) string {
-		var out strings.Builder
-		if err := Run(strings.NewReader(in), &out); err != nil {
+	run := func(input string) string {
+		var output strings.Builder
+		if err := Run(strings.NewReader(input), &output); err != nil {
 			t.Fatal(err)
 		}
-		return out.String()
+		return output.String()
 	}
-	if alone, together := run(node("1"))+run(node("2")), run(node("1")+node("2")); alone != together {
-		t.Errorf("alone\n%stogether\n%s", alone, together)
+	if separate, combined := run(nodeInput("1"))+run(nodeInput("2")),
+		run(nodeInput("1")+nodeInput("2")); separate != combined {
+		t.Errorf("separate runs\n%scombined run\n%s", separate, combined)
 	}
 }
--- a/internal/sim/wire/event.go
+++ b/internal/sim/wire/event.go
@@ -8,41 +8,42 @@
 	"brassmux/internal/sim/gossip"
 )
 
-// event returns the event of a message. It is empty for a message that says nothing to package balance.
-func (r *Reader) event(m *message) (Event, error) {
+// event converts a message to an event. The event is neither a start nor a stop and has a nil Event if package balance
+// does not handle the message.
+func (r *Reader) event(msg *inputMessage) (Event, error) {
 	switch {
-	case m.Create != nil:
-		r.reportFields[m.Create.Node] = m.Create.Site.Report.Fields
-		return Event{Node: m.Create.Node, Start: &Start{m.Create.Seed, m.Create.Site.BalanceConfig()}}, nil
-	case m.Shutdown != nil:
-		return Event{Node: m.Shutdown.Node, Stop: true}, nil
-	case m.EndpointUpdate != nil:
-		return Event{Node: m.EndpointUpdate.Node, Event: m.EndpointUpdate.event()}, nil
-	case m.Request != nil:
-		return Event{Node: m.Request.Node, Event: m.Request.request()}, nil
-	case m.Existing != nil:
-		return Event{Node: m.Existing.Node, Event: m.Existing.existingConnection()}, nil
-	case m.Disconnected != nil:
-		return Event{Node: m.Disconnected.Node, Event: m.Disconnected.clientDisconnected()}, nil
-	case m.TimerFired != nil:
-		return Event{Node: m.TimerFired.Node, Event: balance.TimerFired{Token: m.TimerFired.TimerToken}}, nil
-	case m.Gossip != nil:
-		return Event{Node: m.Gossip.Node, Event: m.Gossip.gossipReceived()}, nil
-	case m.ConnectionReport != nil:
-		return Event{Node: m.ConnectionReport.Node, Event: m.ConnectionReport.connectionReport()}, nil
-	case m.Accepted != nil:
-		return Event{Node: m.Accepted.Node, Event: m.Accepted.attemptAccepted()}, nil
-	case m.Ended != nil:
-		event, err := r.attemptEnded(m.Ended)
-		return Event{Node: m.Ended.Node, Event: event}, err
-	case m.HealthCheck != nil:
-		event, err := r.healthCheckResult(m.HealthCheck)
-		return Event{Node: m.HealthCheck.Node, Event: event}, err
+	case msg.Create != nil:
+		r.reportFields[msg.Create.Node] = msg.Create.Site.Report.Fields
+		return Event{Node: msg.Create.Node, Start: &Start{msg.Create.Seed, msg.Create.Site.BalanceConfig()}}, nil
+	case msg.Shutdown != nil:
+		return Event{Node: msg.Shutdown.Node, Stop: true}, nil
+	case msg.EndpointUpdate != nil:
+		return Event{Node: msg.EndpointUpdate.Node, Event: msg.EndpointUpdate.event()}, nil
+	case msg.Request != nil:
+		return Event{Node: msg.Request.Node, Event: msg.Request.request()}, nil
+	case msg.ExistingConnection != nil:
+		return Event{Node: msg.ExistingConnection.Node, Event: msg.ExistingConnection.existingConnection()}, nil
+	case msg.ClientDisconnected != nil:
+		return Event{Node: msg.ClientDisconnected.Node, Event: msg.ClientDisconnected.clientDisconnected()}, nil
+	case msg.TimerFired != nil:
+		return Event{Node: msg.TimerFired.Node, Event: balance.TimerFired{Token: msg.TimerFired.TimerToken}}, nil
+	case msg.GossipReceived != nil:
+		return Event{Node: msg.GossipReceived.Node, Event: msg.GossipReceived.gossipReceived()}, nil
+	case msg.ConnectionReport != nil:
+		return Event{Node: msg.ConnectionReport.Node, Event: msg.ConnectionReport.connectionReport()}, nil
+	case msg.AttemptAccepted != nil:
+		return Event{Node: msg.AttemptAccepted.Node, Event: msg.AttemptAccepted.attemptAccepted()}, nil
+	case msg.AttemptEnded != nil:
+		event, err := r.attemptEnded(msg.AttemptEnded)
+		return Event{Node: msg.AttemptEnded.Node, Event: event}, err
+	case msg.HealthCheckResult != nil:
+		event, err := r.healthCheckResult(msg.HealthCheckResult)
+		return Event{Node: msg.HealthCheckResult.Node, Event: event}, err
 	}
 	return Event{}, ErrUnknownMessage
 }
 
-func (u *update) event() balance.EndpointUpdate {
+func (u *endpointUpdate) event() balance.EndpointUpdate {
 	event := balance.EndpointUpdate{Kind: updateKinds[u.Kind], Servers: make([]balance.Server, len(u.Servers))}
 	for i, s := range u.Servers {
 		event.Servers[i] = balance.Server{
@@ -57,36 +58,37 @@
 	return event
 }
 
-func (f *fields) request() balance.Request {
+func (f *eventFields) request() balance.Request {
 	return balance.Request{
 		ID:        balance.RequestID(f.Request),
 		Class:     f.Class,
 		ClientKey: f.ClientKey,
 		Group:     f.Group,
 		Timeout:   settings.Microseconds(f.TimeoutMicros),
-		Reconnect: f.Flags&(flagRepeat|flagReturn) != 0,
+		Reconnect: f.Flags&(flagRetry|flagReconnect) != 0,
 	}
 }
 
-func (f *fields) existingConnection() balance.ExistingConnection {
+func (f *eventFields) existingConnection() balance.ExistingConnection {
 	return balance.ExistingConnection{Request: f.request(), Server: balance.ServerID(f.Server)}
 }
 
-func (f *fields) clientDisconnected() balance.ClientDisconnected {
+func (f *eventFields) clientDisconnected() balance.ClientDisconnected {
 	return balance.ClientDisconnected{ID: balance.RequestID(f.Request)}
 }
 
-// gossipReceived returns nil for a text that no node of this version writes, and for one from the node itself.
-func (f *fields) gossipReceived() balance.Event {
-	m, err := gossip.Decode(f.GossipText)
+// gossipReceived returns nil for a text that is not a gossip message of this version, and for a message from the node
+// itself.
+func (f *eventFields) gossipReceived() balance.Event {
+	msg, err := gossip.Decode(f.GossipText)
 	if err != nil || f.Sender == f.Node {
 		return nil
 	}
-	return balance.GossipReceived{FromNode: f.Sender, Message: m}
+	return balance.GossipReceived{FromNode: f.Sender, Message: msg}
 }
 
-// connectionReport returns nil for a report of another kind.
-func (f *fields) connectionReport() balance.Event {
+// connectionReport returns nil for a report of an unknown kind.
+func (f *eventFields) connectionReport() balance.Event {
 	switch f.ReportKind {
 	case reportLoad:
 		return balance.ConnectionLoad{ID: balance.RequestID(f.Request), Load: f.ReportValue}
@@ -100,7 +102,7 @@
 	return nil
 }
 
-func (f *fields) attemptAccepted() balance.AttemptAccepted {
+func (f *eventFields) attemptAccepted() balance.AttemptAccepted {
 	return balance.AttemptAccepted{
 		ID:      balance.RequestID(f.Request),
 		Attempt: f.Attempt,
@@ -109,7 +111,7 @@
 	}
 }
 
-func (r *Reader) attemptEnded(f *fields) (balance.AttemptEnded, error) {
+func (r *Reader) attemptEnded(f *eventFields) (balance.AttemptEnded, error) {
 	outcome, err := f.outcome()
 	return balance.AttemptEnded{
 		ID:      balance.RequestID(f.Request),
@@ -122,7 +124,7 @@
 	}, err
 }
 
-func (r *Reader) healthCheckResult(f *fields) (balance.HealthCheckResult, error) {
+func (r *Reader) healthCheckResult(f *eventFields) (balance.HealthCheckResult, error) {
 	outcome, err := f.outcome()
 	return balance.HealthCheckResult{
 		Server:  balance.ServerID(f.Server),
@@ -132,16 +134,16 @@
 	}, err
 }
 
-func (f *fields) outcome() (balance.Outcome, error) {
+func (f *eventFields) outcome() (balance.Outcome, error) {
 	if f.Outcome < 0 || f.Outcome >= len(outcomes) {
 		return 0, &OutcomeError{Code: f.Outcome}
 	}
 	return outcomes[f.Outcome], nil
 }
 
-// loadReport reads a load report in the order of the fields that the settings of its node name. It returns nil where
-// there is none.
-func (r *Reader) loadReport(f *fields) *balance.LoadReport {
+// loadReport returns the load report of a message, or nil if it has none. Its values are in the order of the report
+// fields in the node's settings.
+func (r *Reader) loadReport(f *eventFields) *balance.LoadReport {
 	if len(f.Report) == 0 {
 		return nil
 	}
--- a/internal/sim/wire/golden_test.go
+++ b/internal/sim/wire/golden_test.go
@@ -12,38 +12,38 @@
 )
 
 var (
-	listKinds = map[balance.UpdateKind]string{balance.WatchFailed: "failed", balance.ListDelta: "changes",
+	updateKindNames = map[balance.UpdateKind]string{balance.WatchFailed: "failed", balance.ListDelta: "changes",
 		balance.ListSnapshot: "full", balance.ListCached: "cached", balance.WatchBroken: "broken"}
-	stateNames = map[balance.ServerState]string{balance.Removed: "gone", balance.Draining: "draining",
+	serverStateNames = map[balance.ServerState]string{balance.Removed: "gone", balance.Draining: "draining",
 		balance.Ready: "ready"}
 	outcomeNames = map[balance.Outcome]string{balance.ServerError: "error", balance.OK: "ok",
 		balance.AtCapacity: "full", balance.TimedOut: "timed out", balance.ConnectFailed: "connect failed",
-		balance.Reset:     "reset",
-		balance.Cancelled: "cancelled", balance.Abandoned: "moot", balance.NotSent: "unsent"}
+		balance.Reset: "reset", balance.Cancelled: "cancelled", balance.Abandoned: "moot", balance.NotSent: "unsent"}
 )
 
-func describeReport(r *balance.LoadReport) string {
-	if r == nil {
+func describeReport(report *balance.LoadReport) string {
+	if report == nil {
 		return "none"
 	}
-	return fmt.Sprintf("%g", r.Utilisation)
+	return fmt.Sprintf("%g", report.Utilisation)
 }
 
-func describeRequest(r balance.Request) string {
-	return fmt.Sprintf("id=%d class=%q key=%q group=%q left=%d again=%v", uint64(r.ID), r.Class, r.ClientKey, r.Group,
-		int64(r.Timeout), r.Reconnect)
+func describeRequest(request balance.Request) string {
+	return fmt.Sprintf("id=%d class=%q key=%q group=%q left=%d again=%v", uint64(request.ID), request.Class,
+		request.ClientKey, request.Group, int64(request.Timeout), request.Reconnect)
 }
 
-// describeEvent writes an event by value; its names are those of this text alone.
-func describeEvent(ev balance.Event) string {
-	switch e := ev.(type) {
+// describeEvent formats an event for the golden file. The labels are independent of the field names, so that a renamed
+// field leaves the golden file unchanged.
+func describeEvent(event balance.Event) string {
+	switch e := event.(type) {
 	case nil:
 		return "none"
 	case balance.EndpointUpdate:
-		text := fmt.Sprintf("list %s took=%d", listKinds[e.Kind], int64(e.ServiceWait))
+		text := fmt.Sprintf("list %s took=%d", updateKindNames[e.Kind], int64(e.ServiceWait))
 		for _, s := range e.Servers {
 			text += fmt.Sprintf(" [id=%d %s zone=%q cell=%d weight=%g up=%d]",
-				uint64(s.ID), stateNames[s.State], s.Zone, s.Cell, s.Weight, int64(s.StartedAt))
+				uint64(s.ID), serverStateNames[s.State], s.Zone, s.Cell, s.Weight, int64(s.StartedAt))
 		}
 		return text
 	case balance.Request:
@@ -73,37 +73,37 @@
 			e.FromNode, int(e.Message.Kind), e.Message.Incarnation, uint64(e.Message.Server), e.Message.Load,
 			e.Message.Groups)
 	}
-	return fmt.Sprintf("%T", ev)
+	return fmt.Sprintf("%T", event)
 }
 
-// Every message of the simulator, with every field set.
+// Guards against changes in the decoding of events: the input has every message of the simulator with every field set.
 func TestGoldenEvents(t *testing.T) {
-	r := NewReader(strings.NewReader(golden.Read(t, "batches.jsonl")))
-	var all strings.Builder
+	reader := NewReader(strings.NewReader(golden.Read(t, "batches.jsonl")))
+	var output strings.Builder
 	for {
-		batch, err := r.Read()
+		batch, err := reader.Read()
 		if err == io.EOF {
 			break
 		} else if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&all, "at %d\n", int64(batch.Now))
-		for _, e := range batch.Events {
-			fmt.Fprintf(&all, "  node %d stop=%v %s\n", e.Node, e.Stop, describeEvent(e.Event))
-			if e.Start != nil {
-				s := e.Start.Config
-				fmt.Fprintf(&all, "  start seed=%d nodes=%d attempts=%d tick=%d\n",
-					e.Start.Seed, s.NodeCount, s.MaxAttempts, int64(s.TickInterval))
+		fmt.Fprintf(&output, "at %d\n", int64(batch.Now))
+		for _, event := range batch.Events {
+			fmt.Fprintf(&output, "  node %d stop=%v %s\n", event.Node, event.Stop, describeEvent(event.Event))
+			if event.Start != nil {
+				config := event.Start.Config
+				fmt.Fprintf(&output, "  start seed=%d nodes=%d attempts=%d tick=%d\n",
+					event.Start.Seed, config.NodeCount, config.MaxAttempts, int64(config.TickInterval))
 			}
 		}
 	}
-	golden.Check(t, "events.txt", all.String())
+	golden.Check(t, "events.txt", output.String())
 }
 
-// Every action, with every field set.
+// Guards against changes in the encoding of actions: each action occurs with every field set.
 func TestGoldenActions(t *testing.T) {
-	var all strings.Builder
-	w := NewWriter(&all)
+	var output strings.Builder
+	writer := NewWriter(&output)
 	for _, actions := range [][]Action{nil, {
 		{3, balance.Attempt{ID: 1<<64 - 1, Server: 8, Timeout: 1500 * time.Microsecond, SendWithin: time.Second}},
 		{3, balance.Attempt{}},
@@ -113,16 +113,15 @@
 		{4, balance.Migrate{ID: 7}},
 		{4, balance.HealthCheck{Server: 1<<64 - 1}},
 		{4, balance.SendGossip{ToNode: 0, Message: balance.GossipMessage{Kind: balance.GossipHeldLoad, Incarnation: 9,
-			Server: 12345678, Load: 5e5,
-			Groups: []uint16{77}}}},
+			Server: 12345678, Load: 5e5, Groups: []uint16{77}}}},
 		{4, balance.SetTimer{After: 0, Token: 0}},
 		{4, balance.SetTimer{After: time.Millisecond, Token: 1<<64 - 1}},
 		{4, balance.WatchEndpoints{}},
 		{4, balance.Log{Text: "a <b> & \"c\" é"}},
 	}} {
-		if err := w.Write(actions); err != nil {
+		if err := writer.Write(actions); err != nil {
 			t.Fatal(err)
 		}
 	}
-	golden.Check(t, "actions.jsonl", all.String())
+	golden.Check(t, "actions.jsonl", output.String())
 }
--- a/internal/sim/wire/message.go
+++ b/internal/sim/wire/message.go
@@ -5,38 +5,38 @@
 	"brassmux/internal/settings"
 )
 
-// message is a line of input: it has one of the messages.
-type message struct {
-	Tick             *tick     `json:"TICK"`
-	Commit           *struct{} `json:"COMMIT"`
-	Create           *create   `json:"CREATE"`
-	Shutdown         *fields   `json:"SHUTDOWN"`
-	EndpointUpdate   *update   `json:"UPDATE"`
-	Request          *fields   `json:"SUBMIT"`
-	Existing         *fields   `json:"OPEN"`
-	Disconnected     *fields   `json:"TIMED_OUT_CLIENT"`
-	TimerFired       *fields   `json:"TIMEOUT_FIRED"`
-	Gossip           *fields   `json:"MAIL"`
-	HealthCheck      *fields   `json:"PONG"`
-	ConnectionReport *fields   `json:"UPDATE_OF"`
-	Accepted         *fields   `json:"ACCEPTED"`
-	Ended            *fields   `json:"CLOSED_ATTEMPT"`
+// inputMessage is a line of input. One of its fields is set.
+type inputMessage struct {
+	Tick               *tick           `json:"TICK"`
+	Commit             *struct{}       `json:"COMMIT"`
+	Create             *create         `json:"CREATE"`
+	Shutdown           *eventFields    `json:"SHUTDOWN"`
+	EndpointUpdate     *endpointUpdate `json:"UPDATE"`
+	Request            *eventFields    `json:"SUBMIT"`
+	ExistingConnection *eventFields    `json:"OPEN"`
+	ClientDisconnected *eventFields    `json:"TIMED_OUT_CLIENT"`
+	TimerFired         *eventFields    `json:"TIMEOUT_FIRED"`
+	GossipReceived     *eventFields    `json:"MAIL"`
+	HealthCheckResult  *eventFields    `json:"PONG"`
+	ConnectionReport   *eventFields    `json:"UPDATE_OF"`
+	AttemptAccepted    *eventFields    `json:"ACCEPTED"`
+	AttemptEnded       *eventFields    `json:"CLOSED_ATTEMPT"`
 }
 
-// tick begins a batch.
+// tick starts a batch.
 type tick struct {
 	NowMicros *int64 `json:"at_time_us"`
 }
 
-// create starts an instance.
+// create starts the instance of a node.
 type create struct {
 	Node int           `json:"node"`
 	Seed uint64        `json:"random_seed"`
 	Site settings.Site `json:"boot_info"`
 }
 
-// update is the endpoint list, or changes of it.
-type update struct {
+// endpointUpdate is the complete endpoint list or a set of changes to it.
+type endpointUpdate struct {
 	Node    int      `json:"node"`
 	Kind    string   `json:"how"`
 	Servers []server `json:"elements"`
@@ -51,8 +51,8 @@
 	StartedAtMicros int64             `json:"up_since_us"`
 }
 
-// fields are those of the other messages, of which each has some.
-type fields struct {
+// eventFields holds the fields of all other messages. Each message uses some of them.
+type eventFields struct {
 	Node          int               `json:"node"`
 	Request       uint64            `json:"request_id"`
 	Flags         int               `json:"bitmap"`
@@ -62,24 +62,24 @@
 	Class         string            `json:"cls"`
 	Server        settings.ServerID `json:"host"`
 	Attempt       int               `json:"round_no"`
-	Outcome       int               `json:"ending"` // an index of outcomes
+	Outcome       int               `json:"ending"` // index in outcomes
 	ElapsedMicros int64             `json:"duration_us"`
 	Final         bool              `json:"final"`
 	Report        []float64         `json:"feedback"`
 	TimerToken    uint64            `json:"mark"`
 	ReportKind    int               `json:"topic"`
-	ReportValue   float64           `json:"x"` // a load, or a latency in milliseconds
+	ReportValue   float64           `json:"x"` // load, or latency in milliseconds
 	Sender        int               `json:"who"`
 	GossipText    string            `json:"octets"`
 }
 
-// Flags of a request: its client repeats it, or comes back after a break.
+// Flags of a request whose client retries it, or reconnects after its connection broke.
 const (
-	flagRepeat = 2
-	flagReturn = 16
+	flagRetry     = 2
+	flagReconnect = 16
 )
 
-// Kinds of a connection's report.
+// Kinds of reports about a connection.
 const (
 	reportLoad    = 1
 	reportLatency = 2
--- a/internal/sim/wire/reader.go
+++ b/internal/sim/wire/reader.go
@@ -11,21 +11,21 @@
 	"brassmux/internal/settings"
 )
 
-// Faults of the input. Read wraps them in a *LineError.
+// Errors of invalid input. Read wraps them in a *LineError.
 var (
 	ErrTruncatedBatch = errors.New("the input ends within a batch")
-	ErrTruncatedLine  = errors.New("the line is cut short")
-	ErrNoTick         = errors.New("a batch starts with a TICK")
-	ErrUnexpectedTick = errors.New("a TICK within a batch or without its time")
-	ErrUnknownMessage = errors.New("no message of a known name")
+	ErrTruncatedLine  = errors.New("the last line has no line feed")
+	ErrNoTick         = errors.New("a batch must start with a TICK")
+	ErrUnexpectedTick = errors.New("a TICK within a batch or without at_time_us")
+	ErrUnknownMessage = errors.New("the line has no known message")
 )
 
-// OutcomeError reports an unknown outcome of an attempt.
+// OutcomeError reports an unknown outcome code of an attempt or a health check.
 type OutcomeError struct{ Code int }
 
-func (e *OutcomeError) Error() string { return fmt.Sprintf("unknown ending %d", e.Code) }
+func (e *OutcomeError) Error() string { return fmt.Sprintf("unknown outcome: ending is %d", e.Code) }
 
-// LineError reports a fault of the input with its line, from 1.
+// LineError reports invalid input with its line number, from 1.
 type LineError struct {
 	Line int
 	Err  error
@@ -33,25 +33,25 @@
 
 func (e *LineError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
 
-// Unwrap returns the fault.
+// Unwrap returns the error of the line.
 func (e *LineError) Unwrap() error { return e.Err }
 
-const bufferBytes = 1 << 16
+const bufferSize = 1 << 16
 
-// Reader reads batches.
+// Reader decodes batches of events.
 type Reader struct {
 	in           *bufio.Reader
 	line         int
 	buffer       []byte
-	reportFields map[int][]string // of a load report, by node
+	reportFields map[int][]string // names of the values of a load report, by node
 }
 
-// NewReader returns a Reader of in.
+// NewReader returns a Reader that reads from in.
 func NewReader(in io.Reader) *Reader {
-	return &Reader{in: bufio.NewReaderSize(in, bufferBytes), reportFields: map[int][]string{}}
+	return &Reader{in: bufio.NewReaderSize(in, bufferSize), reportFields: map[int][]string{}}
 }
 
-// Read returns the next batch, or io.EOF when the input has ended between two batches. Any other error is a *LineError.
+// Read returns the next batch, or io.EOF if the input ends between two batches. Any other error is a *LineError.
 func (r *Reader) Read() (Batch, error) {
 	var batch Batch
 	first, err := r.readMessage()
@@ -71,21 +71,21 @@
 	return batch, r.readEvents(&batch)
 }
 
-// readEvents reads the events of a batch up to its end.
+// readEvents reads the events of a batch up to its COMMIT.
 func (r *Reader) readEvents(batch *Batch) error {
 	for {
-		m, err := r.readMessage()
+		msg, err := r.readMessage()
 		switch {
 		case err == io.EOF:
 			return r.lineError(ErrTruncatedBatch)
 		case err != nil:
 			return r.lineError(err)
-		case m.Tick != nil:
+		case msg.Tick != nil:
 			return r.lineError(ErrUnexpectedTick)
-		case m.Commit != nil:
+		case msg.Commit != nil:
 			return nil
 		}
-		event, err := r.event(m)
+		event, err := r.event(msg)
 		if err != nil {
 			return r.lineError(err)
 		}
@@ -98,24 +98,24 @@
 func (r *Reader) lineError(err error) error { return &LineError{Line: r.line, Err: err} }
 
 // readMessage returns the message of the next line, or io.EOF.
-func (r *Reader) readMessage() (*message, error) {
+func (r *Reader) readMessage() (*inputMessage, error) {
 	data, err := r.readLine()
 	if err != nil {
 		return nil, err
 	}
-	m := &message{}
-	if err := json.Unmarshal(data, m); err != nil {
+	msg := &inputMessage{}
+	if err := json.Unmarshal(data, msg); err != nil {
 		return nil, err
 	}
-	return m, nil
+	return msg, nil
 }
 
-// readLine returns the next line without its end; it is valid until the next call.
+// readLine returns the next line without surrounding white space. The result is valid until the next call.
 func (r *Reader) readLine() ([]byte, error) {
 	r.buffer = r.buffer[:0]
 	for {
-		part, err := r.in.ReadSlice('\n')
-		r.buffer = append(r.buffer, part...)
+		chunk, err := r.in.ReadSlice('\n')
+		r.buffer = append(r.buffer, chunk...)
 		switch {
 		case err == nil:
 			r.line++
--- a/internal/sim/wire/reader_test.go
+++ b/internal/sim/wire/reader_test.go
@@ -6,27 +6,28 @@
 	"testing"
 )
 
-// Each fault of the input has its error, with its line.
+// Guards against invalid input that is accepted, or reported with the wrong error or line number.
 func TestReadErrors(t *testing.T) {
 	const tick = `{"TICK":{"at_time_us":1}}` + "\n"
-	for name, c := range map[string]struct {
-		in   string
-		line int
-		want error
+	for name, test := range map[string]struct {
+		input string
+		line  int
+		want  error
 	}{
-		"no tick":          {`{"COMMIT":{}}` + "\n", 1, ErrNoTick},
-		"two ticks":        {tick + tick, 2, ErrUnexpectedTick},
-		"an unknown name":  {tick + "{}\n", 2, ErrUnknownMessage},
-		"no end of a line": {tick + "{}", 2, ErrTruncatedLine},
-		"no commit":        {tick, 1, ErrTruncatedBatch},
+		"no tick":         {`{"COMMIT":{}}` + "\n", 1, ErrNoTick},
+		"two ticks":       {tick + tick, 2, ErrUnexpectedTick},
+		"unknown message": {tick + "{}\n", 2, ErrUnknownMessage},
+		"no line feed":    {tick + "{}", 2, ErrTruncatedLine},
+		"no commit":       {tick, 1, ErrTruncatedBatch},
 	} {
-		_, err := NewReader(strings.NewReader(c.in)).Read()
-		if line := (&LineError{}); !errors.As(err, &line) || line.Line != c.line || !errors.Is(err, c.want) {
-			t.Errorf("%s: got %v, want line %d: %v", name, err, c.line, c.want)
+		_, err := NewReader(strings.NewReader(test.input)).Read()
+		if lineErr := (&LineError{}); !errors.As(err, &lineErr) || lineErr.Line != test.line ||
+			!errors.Is(err, test.want) {
+			t.Errorf("%s: got %v, want line %d: %v", name, err, test.line, test.want)
 		}
 	}
 	_, err := NewReader(strings.NewReader(tick + `{"PONG":{"ending":9}}` + "\n")).Read()
-	if outcome := (&OutcomeError{}); !errors.As(err, &outcome) || outcome.Code != 9 {
-		t.Errorf("an unknown outcome: %v", err)
+	if outcomeErr := (&OutcomeError{}); !errors.As(err, &outcomeErr) || outcomeErr.Code != 9 {
+		t.Errorf("unknown outcome: got %v, want an *OutcomeError with code 9", err)
 	}
 }
--- a/internal/sim/wire/wire.go
+++ b/internal/sim/wire/wire.go
@@ -1,5 +1,6 @@
-// Package wire is the simulator's protocol: JSON lines of batches of events in, JSON lines of actions out. It maps the
-// protocol's names to the events and actions of package balance, and decides nothing.
+// Package wire implements the simulator's protocol: it decodes batches of events from JSON lines and encodes actions as
+// JSON lines. It converts between the names of the protocol and the events and actions of package balance, and has no
+// balancing logic.
 package wire
 
 import (
@@ -8,13 +9,13 @@
 	"brassmux/balance"
 )
 
-// Batch is what happened at one time, at any number of nodes.
+// Batch holds the events of one point in time, for any number of nodes.
 type Batch struct {
 	Now    time.Duration
 	Events []Event
 }
 
-// Event is one event at one node. One that starts or stops an instance has no Event of package balance.
+// Event is an event of one node: the start of its instance, the stop, or an event of package balance.
 type Event struct {
 	Node  int
 	Start *Start
@@ -22,13 +23,13 @@
 	Event balance.Event
 }
 
-// Start is the start of an instance.
+// Start holds the arguments for a new instance of package balance.
 type Start struct {
 	Seed   uint64
 	Config balance.Config
 }
 
-// Action is one action of one node.
+// Action is an action of one node.
 type Action struct {
 	Node   int
 	Action balance.Action
--- a/internal/sim/wire/writer.go
+++ b/internal/sim/wire/writer.go
@@ -10,7 +10,7 @@
 	"brassmux/internal/sim/gossip"
 )
 
-// actionFields are those of all actions; each leaves out those it lacks.
+// actionFields holds the fields of all messages for actions. Fields that a message does not use are omitted.
 type actionFields struct {
 	Node             int     `json:"node"`
 	Request          *uint64 `json:"request_id,omitempty"`
@@ -25,26 +25,29 @@
 	GossipText       string  `json:"octets,omitempty"`
 }
 
-// ActionError reports an action that has no message.
+// ActionError reports an action that the protocol cannot express.
 type ActionError struct{ Action balance.Action }
 
-func (e *ActionError) Error() string { return fmt.Sprintf("no message for action %T", e.Action) }
+func (e *ActionError) Error() string {
+	return fmt.Sprintf("the protocol has no message for action %T", e.Action)
+}
 
-// Writer writes the replies to batches.
+// Writer encodes the replies to batches.
 type Writer struct {
 	out     *bufio.Writer
 	encoder *json.Encoder
 }
 
-// NewWriter returns a Writer to out.
+// NewWriter returns a Writer that writes to out.
 func NewWriter(out io.Writer) *Writer {
-	buffered := bufio.NewWriterSize(out, bufferBytes)
+	buffered := bufio.NewWriterSize(out, bufferSize)
 	encoder := json.NewEncoder(buffered)
 	encoder.SetEscapeHTML(false)
 	return &Writer{out: buffered, encoder: encoder}
 }
 
-// Write sends the reply to one batch. It returns an *ActionError for an action that has no message.
+// Write writes the reply to one batch: a message for each action, then DONE. It returns an *ActionError for an action
+// that the protocol cannot express.
 func (w *Writer) Write(actions []Action) error {
 	for _, action := range actions {
 		name, fields, err := encode(action)
@@ -61,38 +64,39 @@
 	return w.out.Flush()
 }
 
-// encode returns the name and the fields of an action's message.
-func encode(action Action) (name string, f actionFields, err error) {
-	f.Node = action.Node
+// encode returns the name and the fields of the message for an action.
+func encode(action Action) (name string, fields actionFields, err error) {
+	fields.Node = action.Node
 	switch a := action.Action.(type) {
 	case balance.Attempt:
-		f.Request, f.Server, f.TimeoutMicros = (*uint64)(&a.ID), (*uint64)(&a.Server), a.Timeout.Microseconds()
-		return "ISSUE", f, nil
+		fields.Request, fields.Server, fields.TimeoutMicros =
+			(*uint64)(&a.ID), (*uint64)(&a.Server), a.Timeout.Microseconds()
+		return "ISSUE", fields, nil
 	case balance.Reject:
-		f.Request, f.RetryAfterMicros = (*uint64)(&a.ID), a.RetryAfter.Microseconds()
-		return "BUSY", f, nil
+		fields.Request, fields.RetryAfterMicros = (*uint64)(&a.ID), a.RetryAfter.Microseconds()
+		return "BUSY", fields, nil
 	case balance.Fail:
-		f.Request = (*uint64)(&a.ID)
-		return "ABORT", f, nil
+		fields.Request = (*uint64)(&a.ID)
+		return "ABORT", fields, nil
 	case balance.Migrate:
-		f.Request = (*uint64)(&a.ID)
-		return "BOUNCE", f, nil
+		fields.Request = (*uint64)(&a.ID)
+		return "BOUNCE", fields, nil
 	case balance.HealthCheck:
-		f.Server = (*uint64)(&a.Server)
-		return "SAMPLE", f, nil
+		fields.Server = (*uint64)(&a.Server)
+		return "SAMPLE", fields, nil
 	case balance.SendGossip:
-		f.Receiver, f.GossipText = &a.ToNode, gossip.Encode(a.Message)
-		return "ANNOUNCE", f, nil
+		fields.Receiver, fields.GossipText = &a.ToNode, gossip.Encode(a.Message)
+		return "ANNOUNCE", fields, nil
 	case balance.SetTimer:
 		after := a.After.Microseconds()
-		f.TimerMicros, f.TimerToken = &after, &a.Token
-		return "SET_TIMER", f, nil
+		fields.TimerMicros, fields.TimerToken = &after, &a.Token
+		return "SET_TIMER", fields, nil
 	case balance.WatchEndpoints:
-		f.Active = true
-		return "SUBSCRIBE", f, nil
+		fields.Active = true
+		return "SUBSCRIBE", fields, nil
 	case balance.Log:
-		f.LogText = a.Text
-		return "WRITE_LOG", f, nil
+		fields.LogText = a.Text
+		return "WRITE_LOG", fields, nil
 	}
-	return "", f, &ActionError{Action: action.Action}
+	return "", fields, &ActionError{Action: action.Action}
 }
