--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,6 +1,6 @@
-// Package discovery follows the endpoint list: a complete list, then a watch on its changes, over HTTP. It owns the
-// form of the list, the call and the checks on what comes. When to open a watch, the backoff between two of them and
-// what a list means for clients are decided by its callers.
+// Package discovery is a client of the discovery service. It watches the endpoint list over HTTP: the service sends the
+// complete list and then its changes. The package defines the format of the list, makes the calls and validates the
+// responses. Its callers decide when to open a watch, how long to back off between two watches and how to use a list.
 package discovery
 
 import (
@@ -13,31 +13,31 @@
 	"time"
 )
 
-// Client makes the calls to the discovery service. Its fields must be set before the first call.
+// Client calls the discovery service. Its exported fields must be set before the first call.
 type Client struct {
-	// SilenceTimeout is how long a watch may receive nothing before that is reported.
+	// SilenceTimeout is the time without received data after which a watch calls OnSilence.
 	SilenceTimeout time.Duration
 
-	// DialContext opens connections in place of the client's own dialer where it is set, as the laboratory does.
+	// DialContext replaces the client's dialer if it is set. The lab sets it.
 	DialContext DialFunc
 
 	Counters Counters
 
-	http  *http.Client
-	stale atomic.Bool // the last list was rejected as older than the one held
+	http              *http.Client
+	olderListRejected atomic.Bool // a complete older list was rejected, and no list was accepted since
 }
 
 // DialFunc opens a connection, as net.Dialer.DialContext does.
 type DialFunc = func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Counters counts the calls, those that failed or ended, and the watch events that were passed on.
+// Counters counts the calls, the watches that failed or ended, and the events passed to handlers.
 type Counters struct{ Calls, Failures, WatchEvents atomic.Int64 }
 
-// New returns a client. A connection must be up within dialTimeout; it comes from the local address where that is not
-// nil.
-func New(dialTimeout, silenceTimeout time.Duration, local net.Addr) *Client {
+// New returns a client. It connects within dialTimeout or fails. Connections use the local address localAddr, unless
+// that is nil.
+func New(dialTimeout, silenceTimeout time.Duration, localAddr net.Addr) *Client {
 	c := &Client{SilenceTimeout: silenceTimeout}
-	dialer := net.Dialer{Timeout: dialTimeout, LocalAddr: local}
+	dialer := net.Dialer{Timeout: dialTimeout, LocalAddr: localAddr}
 	dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
 		dialContext := dialer.DialContext
 		if c.DialContext != nil {
@@ -47,7 +47,7 @@
 			ctx = timeoutCtx
 		}
 		conn, err := dialContext(ctx, network, addr)
-		if err == nil && isTooLate(ctx) {
+		if err == nil && isPastStartDeadline(ctx) {
 			conn.Close()
 			return nil, ErrTooLate
 		}
@@ -57,26 +57,28 @@
 	return c
 }
 
-// startByKey is the key of a call's deadline for its start in its context. The context's own deadline would end the
-// watch.
-type startByKey struct{}
+// startDeadlineKey is the context key of the deadline for the start of a call. A deadline of the context itself would
+// also end the watch.
+type startDeadlineKey struct{}
 
-// isTooLate reports whether a call's deadline for its start has passed, as where the process was stopped for a while
-// after it had decided to make the call.
-func isTooLate(ctx context.Context) bool {
-	startBy, _ := ctx.Value(startByKey{}).(time.Time)
-	return !startBy.IsZero() && time.Now().After(startBy)
+// isPastStartDeadline reports whether the deadline for the start of a call has passed. This occurs if the process was
+// suspended between the decision to call and the call.
+func isPastStartDeadline(ctx context.Context) bool {
+	startDeadline, _ := ctx.Value(startDeadlineKey{}).(time.Time)
+	return !startDeadline.IsZero() && time.Now().After(startDeadline)
 }
 
-// newRequest prepares a call for the changes after a version, and counts it.
-func (c *Client) newRequest(ctx context.Context, addr string, since int64) (*http.Request, error) {
-	// An idle connection may lead to a machine that has vanished, which would answer with silence.
+// newRequest counts a call and returns its request for the changes after a version. It returns ErrTooLate if the
+// deadline for the start has passed.
+func (c *Client) newRequest(ctx context.Context, addr string, sinceVersion int64) (*http.Request, error) {
+	// The host at the other end of an idle connection may have failed without closing it. A request on such a
+	// connection would get no response.
 	c.http.CloseIdleConnections()
-	if isTooLate(ctx) {
+	if isPastStartDeadline(ctx) {
 		return nil, ErrTooLate
 	}
 	c.Counters.Calls.Add(1)
-	query := url.Values{"follow": {"1"}, "since": {strconv.FormatInt(since, 10)}}
-	target := url.URL{Scheme: "http", Host: addr, Path: "/v1/endpoints", RawQuery: query.Encode()}
-	return http.NewRequestWithContext(ctx, http.MethodGet, target.String(), nil)
+	query := url.Values{"follow": {"1"}, "since": {strconv.FormatInt(sinceVersion, 10)}}
+	requestURL := url.URL{Scheme: "http", Host: addr, Path: "/v1/endpoints", RawQuery: query.Encode()}
+	return http.NewRequestWithContext(ctx, http.MethodGet, requestURL.String(), nil)
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -13,43 +13,44 @@
 	"brassmux/balance"
 )
 
-const endpoint = `{"id":"s-1","addr":"127.0.0.1:9","zone":"a","kind":"m","cell":3,` +
+const endpointJSON = `{"id":"s-1","addr":"127.0.0.1:9","zone":"a","kind":"m","cell":3,` +
 	`"state":"up","weight":1,"started_ms":1700000000000}`
 
-// testClient is a client with the address that it calls.
+// testClient is a client with the address of its test server.
 type testClient struct {
 	*Client
 	addr string
 }
 
-func (a testClient) Watch(ctx context.Context, since int64, onEvent func(*EndpointList)) error {
-	return a.Client.Watch(ctx, a.addr, since, time.Time{},
+func (c testClient) Watch(ctx context.Context, sinceVersion int64, onEvent func(*EndpointList)) error {
+	return c.Client.Watch(ctx, c.addr, sinceVersion, time.Time{},
 		WatchHandler{OnEvent: onEvent, OnAlive: func() {}, OnSilence: func() {}})
 }
 
-// serve starts a discovery service with a handler and returns a client of it.
-func serve(t *testing.T, handler http.HandlerFunc) testClient {
+// newTestClient starts a discovery service with a handler and returns a client for it.
+func newTestClient(t *testing.T, handler http.HandlerFunc) testClient {
 	t.Helper()
-	s := httptest.NewServer(handler)
-	t.Cleanup(s.Close)
-	return testClient{New(time.Second, 10*time.Second, nil), strings.TrimPrefix(s.URL, "http://")}
+	server := httptest.NewServer(handler)
+	t.Cleanup(server.Close)
+	return testClient{New(time.Second, 10*time.Second, nil), strings.TrimPrefix(server.URL, "http://")}
 }
 
-func TestWatchPassesOnEventsUntilItEnds(t *testing.T) {
-	var requested string
-	c := serve(t, func(w http.ResponseWriter, r *http.Request) {
-		requested = r.URL.RequestURI()
-		fmt.Fprintf(w, "{\"version\":41,\"full\":true,\"servers\":[%s]}\n\n\n", endpoint)
+// Guards against lost or misread events, and against a watch that ends without an error.
+func TestWatchDeliversEvents(t *testing.T) {
+	var requestURI string
+	client := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
+		requestURI = r.URL.RequestURI()
+		fmt.Fprintf(w, "{\"version\":41,\"full\":true,\"servers\":[%s]}\n\n\n", endpointJSON)
 		fmt.Fprintf(w, "{\"version\":42,\"full\":false,\"servers\":[%s]}\n",
-			strings.Replace(endpoint, `"up"`, `"removed"`, 1))
+			strings.Replace(endpointJSON, `"up"`, `"removed"`, 1))
 	})
 	var got []EndpointList
-	err := c.Watch(context.Background(), 40, func(l *EndpointList) { got = append(got, *l) })
+	err := client.Watch(context.Background(), 40, func(list *EndpointList) { got = append(got, *list) })
 	if err == nil {
-		t.Error("a watch that has ended is no error")
+		t.Error("Watch returned no error after the service closed the watch")
 	}
-	if requested != "/v1/endpoints?follow=1&since=40" {
-		t.Errorf("requested %q", requested)
+	if requestURI != "/v1/endpoints?follow=1&since=40" {
+		t.Errorf("requested %q", requestURI)
 	}
 	if len(got) != 2 || got[0].Version != 41 || !got[0].Full || got[1].Version != 42 || got[1].Full {
 		t.Fatalf("got %+v", got)
@@ -58,74 +59,79 @@
 	if up.State != balance.Ready || up.Zone != "a" || up.Cell != 3 || up.StartedAt != 1700000000*time.Second {
 		t.Errorf("got %+v", up)
 	}
-	if s := got[1].EndpointUpdate(balance.ListDelta).Servers[0]; s.State != balance.Removed || s.ID != up.ID {
-		t.Errorf("got %+v", s)
+	if server := got[1].EndpointUpdate(balance.ListDelta).Servers[0]; server.State != balance.Removed ||
+		server.ID != up.ID {
+		t.Errorf("got %+v", server)
 	}
 }
 
-func TestInvalidAnswersAreRejected(t *testing.T) {
-	for name, answer := range map[string]string{
-		"no JSON":          "<html>\n",
-		"cut short":        `{"version":41,"full":tr`,
-		"no id":            `{"servers":[{"addr":"127.0.0.1:9","state":"up"}]}`,
-		"an empty id":      `{"servers":[{"id":"","addr":"127.0.0.1:9","state":"up"}]}`,
-		"a wrong type":     `{"version":"x","servers":[]}`,
-		"no address":       `{"servers":[{"id":"s","addr":"nowhere","state":"up"}]}`,
-		"an unknown state": `{"servers":[{"id":"s","addr":"127.0.0.1:9","state":"maybe"}]}`,
-		"no weight at all": `{"servers":[{"id":"s","addr":"127.0.0.1:9","state":"up","weight":-1}]}`,
-		"an endless line":  strings.Repeat(" ", maxListBytes+1) + `{"version":41,"full":true,"servers":[]}`,
-		"an odd start":     `{"servers":[{"id":"s","addr":"127.0.0.1:9","state":"up","started_ms":-1}]}`,
+// Guards against invalid lists and error responses that reach the handler.
+func TestWatchRejectsInvalidResponse(t *testing.T) {
+	for name, response := range map[string]string{
+		"invalid JSON":    "<html>\n",
+		"truncated":       `{"version":41,"full":tr`,
+		"no id":           `{"servers":[{"addr":"127.0.0.1:9","state":"up"}]}`,
+		"empty id":        `{"servers":[{"id":"","addr":"127.0.0.1:9","state":"up"}]}`,
+		"wrong type":      `{"version":"x","servers":[]}`,
+		"no address":      `{"servers":[{"id":"s","addr":"nowhere","state":"up"}]}`,
+		"unknown state":   `{"servers":[{"id":"s","addr":"127.0.0.1:9","state":"maybe"}]}`,
+		"negative weight": `{"servers":[{"id":"s","addr":"127.0.0.1:9","state":"up","weight":-1}]}`,
+		"oversized line":  strings.Repeat(" ", maxListBytes+1) + `{"version":41,"full":true,"servers":[]}`,
+		"negative start":  `{"servers":[{"id":"s","addr":"127.0.0.1:9","state":"up","started_ms":-1}]}`,
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := serve(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, answer) })
-			err := c.Watch(context.Background(), 0, func(l *EndpointList) { t.Errorf("accepted %+v", l) })
+			client := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, response) })
+			err := client.Watch(context.Background(), 0, func(list *EndpointList) { t.Errorf("accepted %+v", list) })
 			if err == nil {
 				t.Error("no error")
 			}
 		})
 	}
-	c := serve(t, func(w http.ResponseWriter, _ *http.Request) {
-		http.Error(w, endpoint, http.StatusServiceUnavailable)
+	client := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) {
+		http.Error(w, endpointJSON, http.StatusServiceUnavailable)
 	})
-	if err := c.Watch(context.Background(), 0, func(l *EndpointList) { t.Errorf("accepted %+v", l) }); err == nil ||
-		!strings.Contains(err.Error(), "503") {
+	if err := client.Watch(context.Background(), 0, func(list *EndpointList) {
+		t.Errorf("accepted %+v", list)
+	}); err == nil || !strings.Contains(err.Error(), "503") {
 		t.Errorf("got %v", err)
 	}
 }
 
-func TestAnOlderListIsRejectedOnce(t *testing.T) {
-	answer := `{"version":39,"full":true,"servers":[]}`
-	c := serve(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, answer) })
+// Guards against lists of a lagging service instance that bring back removed servers, and against a client that rejects
+// all lists after the service restarted its version numbers.
+func TestWatchRejectsOlderListOnce(t *testing.T) {
+	response := `{"version":39,"full":true,"servers":[]}`
+	client := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, response) })
 	accepted := 0
 	watch := func() string {
-		return fmt.Sprint(c.Watch(context.Background(), 41, func(*EndpointList) { accepted++ }))
+		return fmt.Sprint(client.Watch(context.Background(), 41, func(*EndpointList) { accepted++ }))
 	}
-	if why := watch(); accepted != 0 || !strings.Contains(why, "version 39, older than 41") {
-		t.Errorf("accepted %d: %s", accepted, why)
+	if message := watch(); accepted != 0 || !strings.Contains(message, "version 39, older than 41") {
+		t.Errorf("accepted %d: %s", accepted, message)
 	}
 	if watch(); accepted != 1 {
-		t.Errorf("accepted %d when it was older again", accepted)
+		t.Errorf("accepted %d lists after the second older one, want 1", accepted)
 	}
 	if watch(); accepted != 1 {
-		t.Errorf("accepted %d, the first of another time", accepted)
+		t.Errorf("accepted %d lists after the third older one, want 1", accepted)
 	}
-	answer = `{"version":39,"full":false,"servers":[]}` // changes on what is not held mean nothing
+	response = `{"version":39,"full":false,"servers":[]}` // changes to a list that the client does not have
 	if watch(); accepted != 1 {
 		t.Errorf("accepted %d changes", accepted)
 	}
-	answer = `{"version":41,"full":false,"servers":[]}` + "\n" + `{"version":40,"full":false,"servers":[]}`
-	if why := watch(); accepted != 2 || !strings.Contains(why, "older") {
-		t.Errorf("accepted %d: %s", accepted, why)
+	response = `{"version":41,"full":false,"servers":[]}` + "\n" + `{"version":40,"full":false,"servers":[]}`
+	if message := watch(); accepted != 2 || !strings.Contains(message, "older") {
+		t.Errorf("accepted %d: %s", accepted, message)
 	}
 }
 
-// A machine that vanishes leaves the watch open and silent, which TCP keep-alive does not notice. What the watch
-// reports after all is passed on.
-func TestASilentWatchIsReportedAndGoesOn(t *testing.T) {
+// Guards against an unnoticed failure of the service's host, which leaves the watch open without data and is not
+// detected by TCP keep-alive, and against events that are lost after a silence.
+func TestSilentWatchStaysOpen(t *testing.T) {
 	for first, want := range map[string]string{"": "silent, alive, 41, silent", "\n": "alive, silent, 41, silent"} {
 		resume := make(chan struct{})
-		list := fmt.Sprintf("{\"version\":41,\"full\":true,\"servers\":[%s]}\n", endpoint)
-		c := serve(t, func(w http.ResponseWriter, r *http.Request) {
+		list := fmt.Sprintf("{\"version\":41,\"full\":true,\"servers\":[%s]}\n", endpointJSON)
+		client := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
 			for _, text := range []string{first, list} {
 				fmt.Fprint(w, text)
 				w.(http.Flusher).Flush()
@@ -133,17 +139,17 @@
 			}
 			<-r.Context().Done()
 		})
-		c.SilenceTimeout = 20 * time.Millisecond
+		client.SilenceTimeout = 20 * time.Millisecond
 		ctx, cancel := context.WithCancel(context.Background())
-		reports, ended := startWatch(ctx, c)
+		reports, ended := startWatch(ctx, client)
 		var got []string
 		for len(got) < 4 {
 			if got = append(got, <-reports); got[len(got)-1] == "silent" && len(got) < 4 {
 				close(resume)
 			}
 		}
-		if all := strings.Join(got, ", "); all != want {
-			t.Errorf("after %q: %s", first, all)
+		if joined := strings.Join(got, ", "); joined != want {
+			t.Errorf("after %q: %s", first, joined)
 		}
 		cancel()
 		if err := <-ended; err != context.Canceled {
@@ -152,95 +158,101 @@
 	}
 }
 
-// startWatch runs a watch and returns what it reports and its end.
-func startWatch(ctx context.Context, c testClient) (reports <-chan string, ended <-chan error) {
-	all, end := make(chan string, 100), make(chan error, 1)
+// startWatch runs a watch and returns the channels of its callbacks and of its final error.
+func startWatch(ctx context.Context, client testClient) (reports <-chan string, ended <-chan error) {
+	reportQueue, result := make(chan string, 100), make(chan error, 1)
 	go func() {
-		end <- c.Client.Watch(ctx, c.addr, 0, time.Time{}, WatchHandler{
-			OnEvent:   func(l *EndpointList) { all <- fmt.Sprint(l.Version) },
-			OnAlive:   func() { all <- "alive" },
-			OnSilence: func() { all <- "silent" },
+		result <- client.Client.Watch(ctx, client.addr, 0, time.Time{}, WatchHandler{
+			OnEvent:   func(list *EndpointList) { reportQueue <- fmt.Sprint(list.Version) },
+			OnAlive:   func() { reportQueue <- "alive" },
+			OnSilence: func() { reportQueue <- "silent" },
 		})
 	}()
-	return all, end
+	return reportQueue, result
 }
 
-func TestAListMayComeInFragmentsAndIndented(t *testing.T) {
-	c := serve(t, func(w http.ResponseWriter, _ *http.Request) {
-		for _, piece := range strings.SplitAfter("\r\n"+`{
+// Guards against a decoder that requires one list per line or per read.
+func TestWatchReadsFragmentedAndIndentedLists(t *testing.T) {
+	client := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) {
+		for _, fragment := range strings.SplitAfter("\r\n"+`{
   "version": 41, "full": true,
-  "servers": [`+endpoint+`
+  "servers": [`+endpointJSON+`
   ]
 }`+"\r\n\r\n"+`{"version":42,"full":false,"servers":[]}`, ":") {
-			fmt.Fprint(w, piece)
+			fmt.Fprint(w, fragment)
 			w.(http.Flusher).Flush()
 		}
 	})
-	var got []int64
-	c.Watch(context.Background(), 0, func(l *EndpointList) { got = append(got, l.Version) })
-	if fmt.Sprint(got) != "[41 42]" {
-		t.Errorf("got versions %v", got)
+	var versions []int64
+	client.Watch(context.Background(), 0, func(list *EndpointList) { versions = append(versions, list.Version) })
+	if fmt.Sprint(versions) != "[41 42]" {
+		t.Errorf("got versions %v", versions)
 	}
 }
 
-func TestAWatchEndsWithItsContext(t *testing.T) {
-	c := serve(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+// Guards against a watch that outlives its context.
+func TestWatchEndsWithContext(t *testing.T) {
+	client := newTestClient(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if err := c.Watch(ctx, 0, func(*EndpointList) {}); err == nil {
+	if err := client.Watch(ctx, 0, func(*EndpointList) {}); err == nil {
 		t.Error("no error")
 	}
 }
 
-// A call that failed leaves a connection behind; the machine at its other end may vanish before the next one.
-func TestEachCallUsesANewConnection(t *testing.T) {
-	from := map[string]bool{}
-	c := serve(t, func(w http.ResponseWriter, r *http.Request) {
-		from[r.RemoteAddr] = true
-		w.WriteHeader(http.StatusServiceUnavailable) // and nothing more: the connection could be used again
+// Guards against the reuse of the connection of a failed call: the host at its other end may have failed since.
+func TestWatchOpensNewConnection(t *testing.T) {
+	remoteAddrs := map[string]bool{}
+	client := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
+		remoteAddrs[r.RemoteAddr] = true
+		w.WriteHeader(http.StatusServiceUnavailable) // without a body, so the connection is reusable
 	})
 	for range 3 {
-		c.Watch(context.Background(), 0, func(*EndpointList) {})
+		client.Watch(context.Background(), 0, func(*EndpointList) {})
 	}
-	if len(from) != 3 {
-		t.Errorf("three calls came over %d connections", len(from))
+	if len(remoteAddrs) != 3 {
+		t.Errorf("three calls used %d connections", len(remoteAddrs))
 	}
 }
 
-// Each kind of fault has its error.
+// Guards against failures that are reported with the wrong type of error.
 func TestWatchErrors(t *testing.T) {
-	var answer string
+	var response string
 	status := http.StatusOK
-	c := serve(t, func(w http.ResponseWriter, _ *http.Request) {
+	client := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
-		fmt.Fprintln(w, answer)
+		fmt.Fprintln(w, response)
 	})
 	watch := func(text string) error {
-		answer = text
-		return c.Watch(context.Background(), 5, func(*EndpointList) {})
+		response = text
+		return client.Watch(context.Background(), 5, func(*EndpointList) {})
 	}
-	stale, invalid, size, fault, rejected := &StaleError{}, &ListError{}, &SizeError{}, &EndpointError{}, &StatusError{}
-	if err := watch(`{"version":4,"full":false}`); !errors.As(err, &stale) || stale.Version != 4 || stale.Held != 5 {
+	staleErr, listErr, sizeErr, endpointErr, statusErr :=
+		&StaleError{}, &ListError{}, &SizeError{}, &EndpointError{}, &StatusError{}
+	if err := watch(`{"version":4,"full":false}`); !errors.As(err, &staleErr) || staleErr.Version != 4 ||
+		staleErr.Held != 5 {
 		t.Errorf("an older version: %v", err)
 	}
-	if err := watch("<html>"); !errors.As(err, &invalid) {
-		t.Errorf("no list: %v", err)
+	if err := watch("<html>"); !errors.As(err, &listErr) {
+		t.Errorf("invalid JSON: %v", err)
 	}
-	if err := watch(strings.Repeat(" ", maxListBytes+1)); !errors.As(err, &size) {
+	if err := watch(strings.Repeat(" ", maxListBytes+1)); !errors.As(err, &sizeErr) {
 		t.Errorf("a long list: %v", err)
 	}
-	if err := watch(`{"servers":[{"id":1,"state":"maybe"}]}`); !errors.As(err, &fault) || fault.Field != "state" {
+	if err := watch(`{"servers":[{"id":1,"state":"maybe"}]}`); !errors.As(err, &endpointErr) ||
+		endpointErr.Field != "state" {
 		t.Errorf("an unknown state: %v", err)
 	}
 	if err := watch(`{"version":6}`); !errors.Is(err, ErrWatchEnded) {
-		t.Errorf("the end: %v", err)
+		t.Errorf("the watch ended: %v", err)
 	}
 	status = http.StatusNotFound
-	if err := watch(""); !errors.As(err, &rejected) || rejected.Status != "404 Not Found" {
+	if err := watch(""); !errors.As(err, &statusErr) || statusErr.Status != "404 Not Found" {
 		t.Errorf("another status: %v", err)
 	}
 	past := time.Now().Add(-time.Second)
-	err := c.Client.Watch(context.Background(), c.addr, 0, past, WatchHandler{OnAlive: func() {}, OnSilence: func() {}})
+	err := client.Client.Watch(context.Background(), client.addr, 0, past,
+		WatchHandler{OnAlive: func() {}, OnSilence: func() {}})
 	if !errors.Is(err, ErrTooLate) {
 		t.Errorf("a deadline that has passed: %v", err)
 	}
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -5,16 +5,16 @@
 	"fmt"
 )
 
-// ErrTooLate reports a call that could not be made by its deadline.
-var ErrTooLate = errors.New("the call would be too late")
+// ErrTooLate reports a call that could not be started by its deadline.
+var ErrTooLate = errors.New("the deadline for the start of the discovery call has passed")
 
-// ErrWatchEnded reports a watch that the service has closed.
-var ErrWatchEnded = errors.New("the watch ended")
+// ErrWatchEnded reports a watch that the discovery service closed.
+var ErrWatchEnded = errors.New("the discovery service closed the watch")
 
-// EndpointError reports an endpoint that cannot be used.
+// EndpointError reports an endpoint with an invalid field.
 type EndpointError struct {
 	Index   int    // in the list
-	Field   string // by its key
+	Field   string // its JSON key
 	Problem string
 }
 
@@ -25,26 +25,28 @@
 // StatusError reports an HTTP status other than 200.
 type StatusError struct{ Status string }
 
-func (e *StatusError) Error() string { return "discovery answers " + e.Status }
+func (e *StatusError) Error() string { return "the discovery service returned status " + e.Status }
 
-// ListError reports a watch event that is no endpoint list, or one with an invalid endpoint.
+// ListError reports a watch event that is not an endpoint list or has an invalid endpoint.
 type ListError struct{ Err error }
 
-func (e *ListError) Error() string { return "discovery sends an invalid list: " + e.Err.Error() }
+func (e *ListError) Error() string {
+	return "the discovery service sent an invalid list: " + e.Err.Error()
+}
 
-// Unwrap returns what is wrong with the list.
+// Unwrap returns the error of the list.
 func (e *ListError) Unwrap() error { return e.Err }
 
-// StaleError reports a list that is older than the one held.
+// StaleError reports a list that is older than the current one.
 type StaleError struct{ Version, Held int64 }
 
 func (e *StaleError) Error() string {
-	return fmt.Sprintf("discovery sends version %d, older than %d", e.Version, e.Held)
+	return fmt.Sprintf("the discovery service sent list version %d, older than %d", e.Version, e.Held)
 }
 
-// SizeError reports a list that is longer than the limit.
+// SizeError reports a list that exceeds the size limit.
 type SizeError struct{ MaxBytes int }
 
 func (e *SizeError) Error() string {
-	return fmt.Sprintf("discovery sends a list over %d bytes", e.MaxBytes)
+	return fmt.Sprintf("the discovery service sent a list of more than %d bytes", e.MaxBytes)
 }
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -12,34 +12,36 @@
 	"brassmux/internal/golden"
 )
 
-// Each form of the list that the service may send, and the call that asks for it.
+// Guards against changes in the request of a watch and in the decoding of each form of list that the service may send.
 func TestGoldenLists(t *testing.T) {
 	input := golden.Read(t, "lists.json")
-	var all strings.Builder
-	c := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	var output strings.Builder
+	client := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
 		r.Host = "discovery:80"
-		call, err := httputil.DumpRequest(r, true)
+		request, err := httputil.DumpRequest(r, true)
 		if err != nil {
 			t.Error(err)
 		}
-		fmt.Fprintf(&all, "%s\n", strings.TrimSpace(strings.ReplaceAll(string(call), "\r\n", "\n")))
+		fmt.Fprintf(&output, "%s\n", strings.TrimSpace(strings.ReplaceAll(string(request), "\r\n", "\n")))
 		fmt.Fprint(w, input)
 	})
-	states := map[balance.ServerState]string{balance.Removed: "gone", balance.Draining: "draining",
+	stateNames := map[balance.ServerState]string{balance.Removed: "gone", balance.Draining: "draining",
 		balance.Ready: "ready"}
-	err := c.Watch(context.Background(), 40, func(l *EndpointList) {
-		fmt.Fprintf(&all, "version=%d full=%v\n", l.Version, l.Full)
-		servers := l.EndpointUpdate(balance.ListSnapshot).Servers
-		for i, s := range l.Servers {
-			d := servers[i]
-			fmt.Fprintf(&all, "  id=%d addr=%q zone=%q cell=%d state=%q weight=%g started_ms=%d\n",
-				uint64(s.ID), s.Addr, s.Zone, s.Cell, s.State, s.Weight, s.StartedAtMillis)
-			fmt.Fprintf(&all, "  -> id=%d state=%s zone=%q cell=%d weight=%g up_since=%d\n",
-				uint64(d.ID), states[d.State], d.Zone, d.Cell, d.Weight, int64(d.StartedAt))
+	err := client.Watch(context.Background(), 40, func(list *EndpointList) {
+		fmt.Fprintf(&output, "version=%d full=%v\n", list.Version, list.Full)
+		servers := list.EndpointUpdate(balance.ListSnapshot).Servers
+		for i, endpoint := range list.Servers {
+			server := servers[i]
+			fmt.Fprintf(&output, "  id=%d addr=%q zone=%q cell=%d state=%q weight=%g started_ms=%d\n",
+				uint64(endpoint.ID), endpoint.Addr, endpoint.Zone, endpoint.Cell, endpoint.State, endpoint.Weight,
+				endpoint.StartedAtMillis)
+			fmt.Fprintf(&output, "  -> id=%d state=%s zone=%q cell=%d weight=%g up_since=%d\n",
+				uint64(server.ID), stateNames[server.State], server.Zone, server.Cell, server.Weight,
+				int64(server.StartedAt))
 		}
 	})
 	if err == nil {
-		t.Error("a watch that has ended is no error")
+		t.Error("Watch returned no error after the service closed the watch")
 	}
-	golden.Check(t, "lists.txt", all.String())
+	golden.Check(t, "lists.txt", output.String())
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -11,51 +11,54 @@
 	"time"
 )
 
-// WatchHandler receives what a watch reports. Its functions are called from goroutines of the watch.
+// WatchHandler holds the callbacks of a watch. They are called from the goroutines of the watch.
 type WatchHandler struct {
-	// OnEvent receives each list or change of the list.
+	// OnEvent is called for each list or set of changes.
 	OnEvent func(*EndpointList)
 
-	// OnAlive is called once, for the first bytes of the answer.
+	// OnAlive is called once, when the first bytes of the response body arrive.
 	OnAlive func()
 
-	// OnSilence is called each time that nothing has come for the client's SilenceTimeout.
+	// OnSilence is called each time that no data has arrived for the client's SilenceTimeout.
 	OnSilence func()
 
-	// OnDate receives the Date header of the answer and the times between which the service's clock showed it. It may
-	// be nil.
+	// OnDate is called with the Date header of the response and the local times between which the service set it: when
+	// the request was sent and when the response header was received. It may be nil.
 	OnDate func(date, sent, received time.Time)
 }
 
-// Watch opens a watch on the changes after a version at the service's addr, and passes them on until the watch breaks
-// or ctx ends. It returns why. A silent watch is reported and stays open: events that still come are passed on.
+// Watch calls the service at addr for the changes after a version and passes them to the handler until the watch breaks
+// or ctx ends. It always returns an error with the reason. A silent watch is reported to the handler and stays open:
+// later events are still passed on.
 //
-// A list older than the one held ends the watch, since one of several service instances may lag behind and would bring
-// back servers that are gone. The next watch accepts a complete list that is older again: then the service counts anew.
+// A list that is older than the current one ends the watch, because one of several service instances may lag behind and
+// would bring back removed servers. The next complete list is accepted even if it is older, since the service must then
+// have restarted its version numbers.
 //
-// The connection must be up by startBy, unless that is zero; else Watch returns ErrTooLate and makes no call.
+// Watch returns ErrTooLate without a call if there is no connection by startDeadline. Zero means no deadline.
 func (c *Client) Watch(
-	ctx context.Context, addr string, since int64, startBy time.Time, handler WatchHandler,
+	ctx context.Context, addr string, sinceVersion int64, startDeadline time.Time, handler WatchHandler,
 ) error {
-	silence := newSilenceTimer(c.SilenceTimeout, handler.OnSilence)
-	defer silence.stop()
+	timer := newSilenceTimer(c.SilenceTimeout, handler.OnSilence)
+	defer timer.stop()
 	onAlive := sync.OnceFunc(handler.OnAlive)
-	onBytes := func() {
+	onData := func() {
 		onAlive()
-		silence.reset()
+		timer.reset()
 	}
-	held := since
+	currentVersion := sinceVersion
 	accept := func(list *EndpointList) error {
-		if list.Version < held && !c.acceptsOlder(list) {
-			return &StaleError{Version: list.Version, Held: held}
+		if list.Version < currentVersion && !c.acceptOlderList(list) {
+			return &StaleError{Version: list.Version, Held: currentVersion}
 		}
-		held = list.Version
-		c.stale.Store(false)
+		currentVersion = list.Version
+		c.olderListRejected.Store(false)
 		c.Counters.WatchEvents.Add(1)
 		handler.OnEvent(list)
 		return nil
 	}
-	err := c.watch(context.WithValue(ctx, startByKey{}, startBy), addr, since, onBytes, handler.OnDate, accept)
+	err := c.watch(context.WithValue(ctx, startDeadlineKey{}, startDeadline), addr, sinceVersion, onData,
+		handler.OnDate, accept)
 	if ctxErr := ctx.Err(); ctxErr != nil {
 		err = ctxErr
 	}
@@ -63,16 +66,17 @@
 	return err
 }
 
-// acceptsOlder reports whether a list that is older than the one held is accepted: a complete one, at the second time.
-func (c *Client) acceptsOlder(list *EndpointList) bool {
-	return list.Full && !c.stale.CompareAndSwap(false, true)
+// acceptOlderList reports whether a list that is older than the current one is accepted. It rejects the first complete
+// older list and records that; it accepts the next one. It always rejects sets of changes.
+func (c *Client) acceptOlderList(list *EndpointList) bool {
+	return list.Full && !c.olderListRejected.CompareAndSwap(false, true)
 }
 
-// watch makes the call and passes each list to accept, until that or the call fails.
-func (c *Client) watch(ctx context.Context, addr string, since int64, onBytes func(),
+// watch makes the call and passes each list to accept until either fails.
+func (c *Client) watch(ctx context.Context, addr string, sinceVersion int64, onData func(),
 	onDate func(date, sent, received time.Time), accept func(*EndpointList) error,
 ) error {
-	req, err := c.newRequest(ctx, addr, since)
+	req, err := c.newRequest(ctx, addr, sinceVersion)
 	if err != nil {
 		return err
 	}
@@ -88,14 +92,14 @@
 	if resp.StatusCode != http.StatusOK {
 		return &StatusError{Status: resp.Status}
 	}
-	body := &listReader{from: resp.Body, onBytes: onBytes}
-	for lists := json.NewDecoder(body); ; body.length = 0 { // a list may extend over several lines
+	body := &listReader{body: resp.Body, onData: onData}
+	for decoder := json.NewDecoder(body); ; body.listBytes = 0 { // a list may span several lines
 		var list EndpointList
-		switch err := lists.Decode(&list); {
+		switch err := decoder.Decode(&list); {
 		case err == io.EOF:
 			return ErrWatchEnded
-		case body.err != nil:
-			return body.err
+		case body.readErr != nil:
+			return body.readErr
 		case err != nil:
 			return &ListError{Err: err}
 		}
@@ -108,46 +112,46 @@
 	}
 }
 
-// maxListBytes bounds a list, or a change of it, as it is written: several thousand servers, and a small part of the
-// smallest machine's memory.
+// maxListBytes bounds the JSON text of a list or a set of changes. 1 MiB has room for several thousand servers and is a
+// small part of the memory of the smallest machine.
 const maxListBytes = 1 << 20
 
-// listReader reads the body of a watch: lists, and empty lines where nothing has changed.
+// listReader reads the response body of a watch: lists, and empty lines as heartbeats. It enforces maxListBytes.
 type listReader struct {
-	from    io.Reader
-	onBytes func() // called for whatever comes
-	length  int    // bytes since the last list
-	err     error  // why no more comes, other than the end
+	body      io.Reader
+	onData    func() // called when bytes arrive
+	listBytes int    // bytes since the last list
+	readErr   error  // the read error that ended the body, other than io.EOF
 }
 
 func (r *listReader) Read(p []byte) (int, error) {
-	n, err := r.from.Read(p)
+	n, err := r.body.Read(p)
 	if n > 0 {
-		r.onBytes()
+		r.onData()
 	}
 	if len(bytes.Trim(p[:n], "\r\n")) > 0 {
-		r.length += n
+		r.listBytes += n
 	}
-	if r.length > maxListBytes {
+	if r.listBytes > maxListBytes {
 		n, err = 0, &SizeError{MaxBytes: maxListBytes}
 	}
 	if err != io.EOF {
-		r.err = err
+		r.readErr = err
 	}
 	return n, err
 }
 
-// silenceGrace is how long a watch that seems silent has to show that it is not.
+// silenceGrace is the additional time for data to arrive after the silence timeout.
 const silenceGrace = 100 * time.Millisecond
 
-// silenceTimer reports when nothing has come for a while. It waits a grace period before it does: where this process
-// was itself stopped, what came meanwhile is still to be read.
+// silenceTimer calls onSilence if no data arrives within the timeout and a grace period after it. If this process was
+// suspended, data that arrived in the meantime is read within the grace period.
 type silenceTimer struct {
 	timeout   time.Duration
 	onSilence func()
 	inGrace   atomic.Bool
 	timer     *time.Timer
-	started   chan struct{} // closed when timer is set
+	started   chan struct{} // closed when the field timer is set
 }
 
 func newSilenceTimer(timeout time.Duration, onSilence func()) *silenceTimer {
@@ -166,7 +170,7 @@
 	s.timer.Reset(silenceGrace)
 }
 
-// reset starts the timeout anew.
+// reset restarts the timeout.
 func (s *silenceTimer) reset() {
 	s.inGrace.Store(false)
 	s.timer.Reset(s.timeout)
