--- a/internal/upgrade/doc.go
+++ b/internal/upgrade/doc.go
@@ -1,6 +1,6 @@
-// Package upgrade is the link between the two processes of a node during a live upgrade. The process that serves, the
-// predecessor, listens on a Unix socket; the process that is to take its place, the successor, connects to it.
+// Package upgrade implements the link between the two processes of a node during a live upgrade. The predecessor, which
+// serves clients, listens on a Unix socket. The successor, which replaces it, connects to that socket.
 //
-// The package owns the messages and their form on the wire, the passing of sockets, and the check that both processes
-// belong to the same user. What is transferred and when is decided by package node.
+// The package defines the messages and their encoding, transfers sockets, and checks that both processes belong to the
+// same user. Package node decides when to transfer which connections and state.
 package upgrade
--- a/internal/upgrade/golden_test.go
+++ b/internal/upgrade/golden_test.go
@@ -12,49 +12,49 @@
 	"brassmux/internal/golden"
 )
 
-// goldenMessages has each kind, with every field set.
+// goldenMessages returns messages of each kind, with every field set.
 func goldenMessages() []Message {
-	list := &discovery.EndpointList{Version: 41, Full: true, Servers: []discovery.Endpoint{
+	endpoints := &discovery.EndpointList{Version: 41, Full: true, Servers: []discovery.Endpoint{
 		{ID: 1<<64 - 1, Addr: "10.0.0.1:9000", Zone: "a", Cell: 3, State: "up", Weight: 1.5,
 			StartedAtMillis: 1700000000000},
 		{ID: 7, Addr: "10.0.0.2:9000", State: "draining", Weight: 1},
 		{ID: 8, State: "removed"},
 	}}
-	memory := &balance.HandoverState{TakenAt: 11, ConnectionRate: 2.5, RateUpdatedAt: 12,
+	state := &balance.HandoverState{TakenAt: 11, ConnectionRate: 2.5, RateUpdatedAt: 12,
 		Servers: []balance.ServerRecord{{ID: 1<<64 - 1, StartedAt: 13, EjectedUntil: 14, ConsecutiveFailures: 15,
 			Utilisation: 0.25, ReportedAt: 16, ConnectionsSinceReport: 17,
 			LatestStart: 18, StartLearnedAt: 19}},
 		Affinities: []balance.AffinityRecord{{ClientKey: "k\x01<é>", Server: 1<<63 + 5, StartedAt: 20, ExpiresAt: 21}}}
-	standing := &exchange.OpenConnection{Head: []byte("OPEN a b c=x,d=1\r\n"), Server: 1<<63 + 5, Addr: "10.0.0.1:1",
+	connection := &exchange.OpenConnection{Head: []byte("OPEN a b c=x,d=1\r\n"), Server: 1<<63 + 5, Addr: "10.0.0.1:1",
 		Age: time.Second, Pending: []time.Duration{2, 1}, FromClient: []byte{0, 255}, FromServer: []byte("half")}
 	return []Message{
 		{Kind: KindHello},
-		{Kind: KindState, Endpoints: list},
-		{Kind: KindState, State: memory},
+		{Kind: KindState, Endpoints: endpoints},
+		{Kind: KindState, State: state},
 		{Kind: KindState, State: &balance.HandoverState{}},
 		{Kind: KindStateEnd, OutOfService: true, DiscoveryAddr: "10.0.0.9:80"},
 		{Kind: KindStateEnd},
 		{Kind: KindServing},
 		{Kind: KindReleased},
-		{Kind: KindConnection, Connection: standing},
+		{Kind: KindConnection, Connection: connection},
 		{Kind: KindConnection, Connection: &exchange.OpenConnection{Head: []byte("x"), Server: 1}},
 		{Kind: KindAccepted},
 		{Kind: KindRejected},
 	}
 }
 
-// Processes of different builds read one another's messages.
+// Guards against a changed encoding, which a process of another build could not decode.
 func TestGoldenMessages(t *testing.T) {
 	predecessor, successor := newLinks(t)
 	client, _ := tcpPair(t)
 	server, _ := tcpPair(t)
-	var sent strings.Builder
-	for _, m := range goldenMessages() {
+	var encoded strings.Builder
+	for _, msg := range goldenMessages() {
 		var err error
-		if m.Kind == KindConnection {
-			err = predecessor.Send(m, patience, client, server)
+		if msg.Kind == KindConnection {
+			err = predecessor.Send(msg, testTimeout, client, server)
 		} else {
-			err = predecessor.Send(m, patience)
+			err = predecessor.Send(msg, testTimeout)
 		}
 		if err != nil {
 			t.Fatal(err)
@@ -64,20 +64,20 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		sent.Write(data[:n])
-		sent.WriteByte('\n')
+		encoded.Write(data[:n])
+		encoded.WriteByte('\n')
 	}
-	golden.Check(t, "messages.txt", sent.String())
+	golden.Check(t, "messages.txt", encoded.String())
 	for i, line := range golden.Lines(t, "messages.txt") {
 		want := goldenMessages()[i]
 		want.Version = protocolVersion
-		if got, err := decode([]byte(line), want.Kind.sockets()); err != nil || !reflect.DeepEqual(*got, want) {
-			t.Errorf("%s: read as %+v, %v", line, got, err)
+		if got, err := decode([]byte(line), want.Kind.socketCount()); err != nil || !reflect.DeepEqual(*got, want) {
+			t.Errorf("%s: decoded as %+v, %v", line, got, err)
 		}
 	}
 }
 
-// Two builds of a node meet at the same place.
-func TestGoldenPath(t *testing.T) {
+// Guards against a changed socket path, at which a process of another build would not find its predecessor.
+func TestGoldenSocketPath(t *testing.T) {
 	golden.Check(t, "path.txt", SocketPath("/tmp/folder", "127.0.0.1:9000")+"\n")
 }
--- a/internal/upgrade/link.go
+++ b/internal/upgrade/link.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// network keeps the bounds of messages, so that each read returns one.
-const network = "unixpacket"
+// socketNetwork preserves message boundaries, so that each read returns one message.
+const socketNetwork = "unixpacket"
 
 // Link is the connection between the two processes of an upgrade. One goroutine may send while another receives.
 type Link struct{ conn *net.UnixConn }
 
-// Dial connects to the process that listens at path. It returns ErrNoPredecessor where there is none, and a *UserError
-// where it belongs to another user.
+// Dial connects to the process that listens at path. It returns ErrNoPredecessor if there is none, and a *UserError if
+// the process belongs to another user.
 func Dial(path string) (*Link, error) {
-	conn, err := net.DialUnix(network, nil, &net.UnixAddr{Name: path, Net: network})
+	conn, err := net.DialUnix(socketNetwork, nil, &net.UnixAddr{Name: path, Net: socketNetwork})
 	if errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ENOENT) {
-		return nil, ErrNoPredecessor // a process that has ended leaves its socket's name behind
+		return nil, ErrNoPredecessor // the socket file outlives its process, which gives ECONNREFUSED
 	}
 	if err != nil {
 		return nil, err
@@ -28,7 +28,7 @@
 	return newLink(conn)
 }
 
-// newLink checks who is at the other end and takes over conn.
+// newLink returns a link over conn, or closes conn if the process at the other end belongs to another user.
 func newLink(conn *net.UnixConn) (*Link, error) {
 	if err := checkUser(conn); err != nil {
 		conn.Close()
@@ -37,7 +37,8 @@
 	return &Link{conn}, nil
 }
 
-// checkUser returns a *UserError for a process of another user, which must get no clients' connections.
+// checkUser returns a *UserError if the process at the other end belongs to another user. Such a process must not
+// receive the connections of clients.
 func checkUser(conn *net.UnixConn) error {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -57,14 +58,13 @@
 	return nil
 }
 
-// Close closes the link; calls of Send and Receive that wait return an error.
+// Close closes the link. Blocked calls of Send and Receive return an error.
 func (l *Link) Close() { l.conn.Close() }
 
-// Send sends a message, and the sockets of a connection where given, within timeout. The caller keeps the connections
-// open until Send returns; the receiver gets copies of their sockets. It returns a *SizeError for a message that is too
-// long.
-func (l *Link) Send(m Message, timeout time.Duration, conns ...*net.TCPConn) error {
-	data, err := encode(m)
+// Send sends a message with the sockets of conns within timeout. The caller must keep conns open until Send returns.
+// The receiver gets duplicates of their sockets. Send returns a *SizeError for a message that exceeds the size limit.
+func (l *Link) Send(msg Message, timeout time.Duration, conns ...*net.TCPConn) error {
+	data, err := encode(msg)
 	if err != nil {
 		return err
 	}
@@ -81,7 +81,7 @@
 	})
 }
 
-// withDescriptors calls f with fds and the descriptors of conns, which stay valid until f returns.
+// withDescriptors calls f with fds and the descriptors of conns. The descriptors are valid until f returns.
 func withDescriptors(conns []*net.TCPConn, fds []int, f func(fds []int) error) error {
 	if len(conns) == 0 {
 		return f(fds)
@@ -90,18 +90,18 @@
 	if err != nil {
 		return err
 	}
-	var inner error
+	var innerErr error
 	if err := raw.Control(func(fd uintptr) {
-		inner = withDescriptors(conns[1:], append(fds, int(fd)), f)
+		innerErr = withDescriptors(conns[1:], append(fds, int(fd)), f)
 	}); err != nil {
 		return err
 	}
-	return inner
+	return innerErr
 }
 
-// Receive returns the next message and its sockets, which are the caller's to close. It waits until the deadline;
-// zero means forever. A *MessageError means that one message was invalid and the link can be used further; any other
-// error ends it, and net.ErrClosed that the other process has closed it.
+// Receive returns the next message and its sockets, which the caller must close. It waits until the deadline, or
+// without a limit if that is zero. After a *MessageError, which reports an invalid message, the link remains usable.
+// Any other error is final. Receive returns net.ErrClosed if the other process has closed the link.
 func (l *Link) Receive(deadline time.Time) (*Message, []*net.TCPConn, error) {
 	if err := l.conn.SetReadDeadline(deadline); err != nil {
 		return nil, nil, err
@@ -113,15 +113,15 @@
 		return nil, nil, err
 	}
 	if n == 0 && rightsLength == 0 {
-		return nil, nil, net.ErrClosed // no message is empty
+		return nil, nil, net.ErrClosed // end of stream: messages are never empty
 	}
-	conns, sockets, err := parseSockets(rights[:rightsLength])
+	conns, socketCount, err := parseSockets(rights[:rightsLength])
 	if err == nil && flags&(syscall.MSG_TRUNC|syscall.MSG_CTRUNC) != 0 {
 		err = ErrTruncated
 	}
-	var m *Message
+	var msg *Message
 	if err == nil {
-		m, err = decode(data[:n], sockets)
+		msg, err = decode(data[:n], socketCount)
 	}
 	if err != nil {
 		for _, c := range conns {
@@ -129,26 +129,26 @@
 		}
 		return nil, nil, &MessageError{Err: err}
 	}
-	return m, conns, nil
+	return msg, conns, nil
 }
 
-// parseSockets makes connections of the descriptors that came with a message, and counts the descriptors. The
-// connections are valid, and the caller's, also where it returns an error.
+// parseSockets converts the descriptors of a message to connections and returns the number of descriptors. The caller
+// must close the returned connections, also if it returns an error.
 func parseSockets(rights []byte) (conns []*net.TCPConn, count int, err error) {
-	messages, err := syscall.ParseSocketControlMessage(rights)
+	controlMessages, err := syscall.ParseSocketControlMessage(rights)
 	if err != nil {
 		return nil, 0, err
 	}
 	var fds []int
-	for _, message := range messages {
-		parsed, parseErr := syscall.ParseUnixRights(&message)
+	for _, controlMessage := range controlMessages {
+		parsed, parseErr := syscall.ParseUnixRights(&controlMessage)
 		if parseErr != nil {
 			err = fmt.Errorf("sockets of a message: %w", parseErr)
 		}
 		fds = append(fds, parsed...)
 	}
 	for _, fd := range fds {
-		conn, connErr := tcpConn(fd)
+		conn, connErr := newTCPConn(fd)
 		if connErr != nil {
 			err = connErr
 			continue
@@ -158,8 +158,8 @@
 	return conns, len(fds), err
 }
 
-// tcpConn makes a connection of a descriptor, which it closes.
-func tcpConn(fd int) (*net.TCPConn, error) {
+// newTCPConn returns a connection for the socket of a descriptor and closes the descriptor.
+func newTCPConn(fd int) (*net.TCPConn, error) {
 	syscall.CloseOnExec(fd)
 	file := os.NewFile(uintptr(fd), "transferred")
 	defer file.Close()
--- a/internal/upgrade/listener.go
+++ b/internal/upgrade/listener.go
@@ -9,11 +9,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxPathBytes leaves room for a process number within the 108 bytes of a Unix socket's name.
+// maxPathBytes leaves room for the process ID of a temporary name within the 108 bytes of a Unix socket's path.
 const maxPathBytes = 100
 
-// SocketPath returns the socket in dir at which the processes of the node with a listen address meet. It is "" where
-// dir is, or where the path would be too long for a socket.
+// SocketPath returns the path of the Unix socket in dir for upgrades of the node that listens at listenAddr. It returns
+// "" if dir is empty or the path would be too long for a socket.
 func SocketPath(dir, listenAddr string) string {
 	if dir == "" {
 		return ""
@@ -25,19 +25,19 @@
 	return path
 }
 
-// Listener accepts the node's next process.
+// Listener accepts links from the successor.
 type Listener struct{ listener *net.UnixListener }
 
-// Listen listens at path, in place of any process that did so before: from then on that one accepts no link. Only
-// processes of the same user can connect.
+// Listen listens at path. It replaces any earlier listener at path, which accepts no further links. Only processes of
+// the same user can connect.
 func Listen(path string) (*Listener, error) {
 	temporary := path + "." + strconv.Itoa(os.Getpid())
-	os.Remove(temporary) // of an earlier process with this number
-	listener, err := net.ListenUnix(network, &net.UnixAddr{Name: temporary, Net: network})
+	os.Remove(temporary) // left by an earlier process with the same ID
+	listener, err := net.ListenUnix(socketNetwork, &net.UnixAddr{Name: temporary, Net: socketNetwork})
 	if err != nil {
 		return nil, err
 	}
-	listener.SetUnlinkOnClose(false) // the name may belong to the successor by then
+	listener.SetUnlinkOnClose(false) // the successor may have replaced the file by then
 	if err = os.Chmod(temporary, 0o600); err == nil {
 		err = os.Rename(temporary, path)
 	}
@@ -49,8 +49,8 @@
 	return &Listener{listener}, nil
 }
 
-// Accept waits for the next process. It returns a *UserError for one of another user, after which it can be called
-// again, and net.ErrClosed after Close.
+// Accept waits for a successor. It returns a *UserError for a process of another user, after which it can be called
+// again. After Close it returns net.ErrClosed.
 func (l *Listener) Accept() (*Link, error) {
 	conn, err := l.listener.AcceptUnix()
 	if err != nil {
@@ -59,5 +59,5 @@
 	return newLink(conn)
 }
 
-// Close ends the listening. The socket's name stays in its directory, since it may be the successor's.
+// Close stops listening. It leaves the socket file in place, since the successor may have replaced it.
 func (l *Listener) Close() { l.listener.Close() }
--- a/internal/upgrade/message.go
+++ b/internal/upgrade/message.go
@@ -8,13 +8,13 @@
 	"brassmux/internal/exchange"
 )
 
-// Kind is the type of a message, by its name on the wire.
+// Kind is the type of a message. Its value is the name in the encoded message.
 type Kind string
 
-// The kinds, in the order of an upgrade. The successor opens with KindHello; the predecessor answers with any number
-// of KindState and one KindStateEnd. When the successor serves it sends KindServing, and the predecessor answers with
-// KindReleased. Then the predecessor sends one KindConnection after another, and the successor answers each with
-// KindAccepted or KindRejected, in the same order.
+// Kinds of messages, in the order of an upgrade. The successor sends KindHello, and the predecessor replies with any
+// number of KindState and one KindStateEnd. Once the successor serves clients, it sends KindServing, and the
+// predecessor replies with KindReleased. Then the predecessor sends a KindConnection for each open connection, and the
+// successor replies to each with KindAccepted or KindRejected, in the same order.
 const (
 	KindHello      Kind = "hello"
 	KindState      Kind = "learned"
@@ -26,19 +26,21 @@
 	KindRejected   Kind = "not_taken"
 )
 
-// protocolVersion changes when a message changes its meaning. Processes of different versions transfer nothing.
+// protocolVersion must be changed when the meaning of a message changes. Processes with different versions reject each
+// other's messages, so that they transfer nothing.
 const protocolVersion = 1
 
-// Message is one message between the two processes. Fields that its kind does not use are empty.
+// Message is a message between the two processes. Fields that its kind does not use are empty.
 type Message struct {
 	Version int  `json:"version"` // set by Link.Send
 	Kind    Kind `json:"kind"`
 
-	// Endpoints and State are parts of the inherited state, in messages of KindState.
+	// Endpoints and State are parts of the predecessor's state, in messages of KindState.
 	Endpoints *discovery.EndpointList `json:"list,omitempty"`
 	State     *balance.HandoverState  `json:"memory,omitempty"`
 
-	// OutOfService and DiscoveryAddr, where the endpoint list came from, are in the message of KindStateEnd.
+	// OutOfService and DiscoveryAddr are set in the message of KindStateEnd. DiscoveryAddr is the address of the
+	// discovery service that sent the endpoint list.
 	OutOfService  bool   `json:"out_of_service,omitempty"`
 	DiscoveryAddr string `json:"discovery,omitempty"`
 
@@ -47,21 +49,21 @@
 }
 
 const (
-	// maxMessageBytes is what fits one packet of the socket's default buffer.
+	// maxMessageBytes is the largest packet that fits the socket's default buffer.
 	maxMessageBytes = 64 << 10
 
-	// socketsPerConnection counts the client's socket and the server's.
+	// socketsPerConnection is the client's socket and the server's.
 	socketsPerConnection = 2
 
-	// MaxEntries is the number of clients, servers or endpoints that one message of KindState may hold. An entry takes
-	// about 150 bytes, and its key up to 128 bytes, each of which JSON may write as six.
+	// MaxEntries is the maximum number of clients, servers or endpoints in one message of KindState. An entry takes
+	// about 150 bytes, plus up to 128 bytes for its key, each of which JSON may escape as six bytes.
 	MaxEntries = 60
 )
 
-// encode returns the message as it is sent, or a *SizeError.
-func encode(m Message) ([]byte, error) {
-	m.Version = protocolVersion
-	data, err := json.Marshal(m)
+// encode sets the protocol version and returns the JSON of the message, or a *SizeError if it exceeds maxMessageBytes.
+func encode(msg Message) ([]byte, error) {
+	msg.Version = protocolVersion
+	data, err := json.Marshal(msg)
 	if err != nil {
 		return nil, err
 	}
@@ -71,26 +73,26 @@
 	return data, nil
 }
 
-// decode reads a message that came with a number of sockets. It checks that the kind has the fields and sockets that
-// it needs.
-func decode(data []byte, sockets int) (*Message, error) {
-	var m Message
-	if err := json.Unmarshal(data, &m); err != nil {
+// decode returns the message of data that was received with socketCount sockets. It returns an error if the message
+// lacks fields that its kind requires, or if its kind requires another number of sockets.
+func decode(data []byte, socketCount int) (*Message, error) {
+	var msg Message
+	if err := json.Unmarshal(data, &msg); err != nil {
 		return nil, err
 	}
-	if m.Version != protocolVersion {
-		return nil, &VersionError{Version: m.Version}
+	if msg.Version != protocolVersion {
+		return nil, &VersionError{Version: msg.Version}
 	}
-	if err := m.validate(); err != nil {
+	if err := msg.validate(); err != nil {
 		return nil, err
 	}
-	if want := m.Kind.sockets(); sockets != want {
-		return nil, &SocketCountError{Kind: m.Kind, Count: sockets, Want: want}
+	if want := msg.Kind.socketCount(); socketCount != want {
+		return nil, &SocketCountError{Kind: msg.Kind, Count: socketCount, Want: want}
 	}
-	return &m, nil
+	return &msg, nil
 }
 
-// validate checks the fields that the message's kind needs.
+// validate checks the fields that the kind of the message requires.
 func (m *Message) validate() error {
 	switch m.Kind {
 	case KindHello, KindStateEnd, KindServing, KindReleased, KindAccepted, KindRejected:
@@ -109,8 +111,8 @@
 	return &KindError{Kind: m.Kind}
 }
 
-// sockets returns the number of sockets that belong to a message of the kind.
-func (k Kind) sockets() int {
+// socketCount returns the number of sockets that accompany a message of the kind.
+func (k Kind) socketCount() int {
 	if k == KindConnection {
 		return socketsPerConnection
 	}
