--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,6 +1,6 @@
-// Package admin is the node's administrative address: a few HTTP requests by which operators and their platform read
-// readiness and metrics and take the node out of service. The package owns the paths, the JSON of the answers and the
-// limits on callers; what the requests mean for the node is decided behind the interface Node.
+// Package admin implements the node's administrative HTTP server. Operators and their platform use it to read readiness
+// and metrics and to take the node out of service. The package defines the paths, the JSON of the responses and the
+// limits on callers. Implementations of the interface Node define the effects of the requests.
 package admin
 
 import (
@@ -8,33 +8,34 @@
 	"net/http"
 )
 
-// Node is what the requests act on. No method may wait for a socket, a log or a queue.
+// Node is the node that requests act on. Its methods must not wait for a socket, a log or a queue.
 type Node interface {
 	// Ready reports whether this process can serve clients.
 	Ready() bool
-	// SetOutOfService takes the node out of service, or puts it back. It returns false where the node is stopping.
+	// SetOutOfService takes the node out of service or puts it back into service. It reports whether it did so. It
+	// returns false if the node is stopping.
 	SetOutOfService(outOfService bool) bool
-	// Metrics returns the current figures.
+	// Metrics returns the current metrics.
 	Metrics() Metrics
 }
 
-// RequestCounts counts the connections of one class by their outcome.
+// RequestCounts counts the connections of one class by outcome.
 type RequestCounts struct {
 	Served   int64 `json:"served"`
 	Rejected int64 `json:"refused"`
 	Failed   int64 `json:"failed"`
 }
 
-// Metrics are the node's figures in the form that callers read. Counts begin with the process.
+// Metrics holds the node's metrics in the format of the response. Counters start at 0 with the process.
 type Metrics struct {
 	Requests        map[string]RequestCounts `json:"requests"`       // by class
-	Attempts        int64                    `json:"attempts"`       // sent to servers in full
-	InFlight        int64                    `json:"in_flight"`      // client connections that are open
+	Attempts        int64                    `json:"attempts"`       // completely sent to servers
+	InFlight        int64                    `json:"in_flight"`      // open client connections
 	KnownServers    int64                    `json:"hosts_known"`    // in the endpoint list
-	ExcludedServers int64                    `json:"hosts_excluded"` // of these, not chosen for new clients now
+	ExcludedServers int64                    `json:"hosts_excluded"` // of these, currently not chosen for new clients
 }
 
-// newHandler routes the requests to a node.
+// newHandler returns a handler that routes requests to a node.
 func newHandler(node Node) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /control/ready", func(w http.ResponseWriter, _ *http.Request) {
@@ -52,7 +53,8 @@
 	return mux
 }
 
-// writeState answers with one of two states; the negative one has a status that load balancers and scripts understand.
+// writeState responds with the positive state and status 200 if ok, else with the negative state and status 503, which
+// load balancers and scripts understand.
 func writeState(w http.ResponseWriter, ok bool, positive, negative string) {
 	state, status := positive, http.StatusOK
 	if !ok {
@@ -65,5 +67,5 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Cache-Control", "no-store")
 	w.WriteHeader(status)
-	json.NewEncoder(w).Encode(body) // fails where the caller has gone
+	json.NewEncoder(w).Encode(body) // fails if the caller has disconnected
 }
--- a/internal/admin/limit.go
+++ b/internal/admin/limit.go
@@ -10,44 +10,44 @@
 )
 
 const (
-	// minRequestTime is how long a connection may have its place at least: with one processor, several connections
-	// may be accepted before the first of them is read.
+	// minRequestTime is the minimum time that a connection has to send its request before it can be evicted: with one
+	// processor, several connections may be accepted before the first of them is read.
 	minRequestTime = 10 * time.Millisecond
 
-	// acceptBackoff is the wait after an accept that failed, as when descriptors run out.
+	// acceptBackoff is the wait after a failed accept, for example for lack of descriptors.
 	acceptBackoff = 10 * time.Millisecond
 )
 
-// connectionLimit bounds the open connections. Callers that send nothing, or half a request, must not keep others out:
-// at the limit, the oldest connection without a complete request is evicted.
+// connectionLimit bounds the number of open connections. Callers that send no request or an incomplete one must not
+// block others, so at the limit the oldest connection without a complete request is evicted.
 type connectionLimit struct {
 	max int
 
 	mu    sync.Mutex
-	open  []*connection // oldest first
-	freed chan struct{} // receives a value when a connection is closed
+	open  []*limitedConnection // oldest first
+	freed chan struct{}        // signals that a connection was closed
 }
 
 func newConnectionLimit(maxConnections int) *connectionLimit {
 	return &connectionLimit{max: maxConnections, freed: make(chan struct{}, 1)}
 }
 
-// connection is a caller's connection; Close returns its place to the limit.
-type connection struct {
+// limitedConnection is a connection that counts against a connectionLimit until it is closed.
+type limitedConnection struct {
 	net.Conn
-	limit    *connectionLimit
-	accepted time.Time
-	complete atomic.Bool // its request has arrived in full
-	once     sync.Once
+	limit           *connectionLimit
+	acceptedAt      time.Time
+	requestComplete atomic.Bool // the complete request has arrived
+	removeOnce      sync.Once
 }
 
-// Close closes the connection.
-func (c *connection) Close() error {
-	c.once.Do(func() { c.limit.remove(c) })
+// Close closes the connection and removes it from its limit.
+func (c *limitedConnection) Close() error {
+	c.removeOnce.Do(func() { c.limit.remove(c) })
 	return c.Conn.Close()
 }
 
-func (l *connectionLimit) remove(c *connection) {
+func (l *connectionLimit) remove(c *limitedConnection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if i := slices.Index(l.open, c); i >= 0 {
@@ -59,48 +59,48 @@
 	}
 }
 
-// tryAdd opens a connection where the limit allows one more. Else it returns nil and the oldest connection without a
-// complete request, which is nil where all have one.
-func (l *connectionLimit) tryAdd(conn net.Conn) (added, oldest *connection) {
+// tryAdd adds a connection if the limit allows one more. Otherwise, it returns nil and the oldest connection without a
+// complete request, which is nil if all requests are complete.
+func (l *connectionLimit) tryAdd(conn net.Conn) (added, oldestIncomplete *limitedConnection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.open) < l.max {
-		added = &connection{Conn: conn, limit: l, accepted: time.Now()}
+		added = &limitedConnection{Conn: conn, limit: l, acceptedAt: time.Now()}
 		l.open = append(l.open, added)
 		return added, nil
 	}
-	if i := slices.IndexFunc(l.open, func(c *connection) bool { return !c.complete.Load() }); i >= 0 {
-		oldest = l.open[i]
+	if i := slices.IndexFunc(l.open, func(c *limitedConnection) bool { return !c.requestComplete.Load() }); i >= 0 {
+		oldestIncomplete = l.open[i]
 	}
-	return nil, oldest
+	return nil, oldestIncomplete
 }
 
-// limitedListener accepts connections within the limit.
+// limitedListener is a listener that enforces a connectionLimit.
 type limitedListener struct {
 	net.Listener
 	limit    *connectionLimit
 	counters *Counters
 }
 
-// Accept waits for a connection and for its place. It evicts others where that is needed.
+// Accept waits for a connection and until the limit allows it. It evicts another connection if necessary.
 func (l *limitedListener) Accept() (net.Conn, error) {
-	conn, err := l.acceptRetrying()
+	conn, err := l.acceptWithRetry()
 	if err != nil {
 		return nil, err
 	}
 	l.counters.Connections.Add(1)
 	for {
-		added, oldest := l.limit.tryAdd(conn)
+		added, oldestIncomplete := l.limit.tryAdd(conn)
 		if added != nil {
 			return added, nil
 		}
 		wait := minRequestTime
-		if oldest != nil {
-			wait -= time.Since(oldest.accepted)
+		if oldestIncomplete != nil {
+			wait -= time.Since(oldestIncomplete.acceptedAt)
 		}
-		if oldest != nil && wait <= 0 {
+		if oldestIncomplete != nil && wait <= 0 {
 			l.counters.Evictions.Add(1)
-			oldest.Close()
+			oldestIncomplete.Close()
 			continue
 		}
 		select {
@@ -110,9 +110,9 @@
 	}
 }
 
-// acceptRetrying accepts a connection, and again after errors other than net.ErrClosed: they may be transient, and the
-// HTTP server would end for good at those that do not call themselves temporary.
-func (l *limitedListener) acceptRetrying() (net.Conn, error) {
+// acceptWithRetry accepts a connection and retries after all errors other than net.ErrClosed. They may be transient,
+// and the HTTP server would stop at those that are not marked as temporary.
+func (l *limitedListener) acceptWithRetry() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
 		if err == nil || errors.Is(err, net.ErrClosed) {
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -13,10 +13,10 @@
 	"go.uber.org/zap"
 )
 
-// Limits bound what callers may use.
+// Limits bounds the resources that callers can use.
 type Limits struct {
-	MaxConnections int           // at a time
-	CallTimeout    time.Duration // for a complete request to arrive; the answer must be read within twice that
+	MaxConnections int           // open at the same time
+	CallTimeout    time.Duration // to receive a complete request; the caller must read the response within twice that
 }
 
 const (
@@ -24,32 +24,32 @@
 	maxBodyBytes   = 4 << 10 // no request needs a body
 )
 
-// Counters counts what callers do.
+// Counters counts connections and requests.
 type Counters struct {
 	Connections  atomic.Int64
-	Calls        atomic.Int64 // requests that arrived in full
+	Calls        atomic.Int64 // complete requests
 	Evictions    atomic.Int64 // connections closed to admit others
 	AcceptErrors atomic.Int64
 }
 
-// Server answers requests.
+// Server is the administrative HTTP server.
 type Server struct {
 	Counters Counters
 
 	http        *http.Server
-	log         *zap.Logger
+	logger      *zap.Logger
 	connections *connectionLimit
 }
 
-// New returns a server for a node. Serve starts it.
+// New returns a server for a node. The caller starts it with Serve.
 func New(node Node, limits Limits, logger *zap.Logger) *Server {
-	s := &Server{log: logger, connections: newConnectionLimit(limits.MaxConnections)}
+	s := &Server{logger: logger, connections: newConnectionLimit(limits.MaxConnections)}
 	s.http = &http.Server{
 		Handler:        s.limitRequests(newHandler(node)),
 		ReadTimeout:    limits.CallTimeout,
 		WriteTimeout:   2 * limits.CallTimeout,
 		MaxHeaderBytes: maxHeaderBytes,
-		ErrorLog:       log.New(io.Discard, "", 0), // faults of callers must not fill the node's log
+		ErrorLog:       log.New(io.Discard, "", 0), // invalid requests must not fill the node's log
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, connectionKey{}, c)
 		},
@@ -58,13 +58,13 @@
 	return s
 }
 
-// connectionKey is the key of a request's *connection in its context.
+// connectionKey is the context key of a request's *limitedConnection.
 type connectionKey struct{}
 
-// limitRequests marks the connections whose request has arrived and rejects requests with a long body.
+// limitRequests marks the connections whose request has arrived and rejects requests whose body exceeds maxBodyBytes.
 func (s *Server) limitRequests(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		r.Context().Value(connectionKey{}).(*connection).complete.Store(true)
+		r.Context().Value(connectionKey{}).(*limitedConnection).requestComplete.Store(true)
 		s.Counters.Calls.Add(1)
 		if r.ContentLength > maxBodyBytes {
 			http.Error(w, "no call has such a body", http.StatusRequestEntityTooLarge)
@@ -75,11 +75,11 @@
 	})
 }
 
-// Serve answers requests that come over l until Close. It closes l.
-func (s *Server) Serve(l net.Listener) {
-	err := s.http.Serve(&limitedListener{Listener: l, limit: s.connections, counters: &s.Counters})
+// Serve accepts connections from listener and handles their requests until Close. It closes listener.
+func (s *Server) Serve(listener net.Listener) {
+	err := s.http.Serve(&limitedListener{Listener: listener, limit: s.connections, counters: &s.Counters})
 	if !errors.Is(err, http.ErrServerClosed) {
-		s.log.Error("the admin server ended", zap.Error(err))
+		s.logger.Error("the admin server ended", zap.Error(err))
 	}
 }
 
--- a/internal/transient/transient_test.go
+++ b/internal/transient/transient_test.go
@@ -9,29 +9,31 @@
 	"testing"
 )
 
+// Guards against transient errors that are not retried, also if they are wrapped, and against retries after a permanent
+// error.
 func TestRetryValue(t *testing.T) {
-	lasting := errors.New("lasting")
-	for _, c := range []struct {
-		fails []error
-		calls int
-		want  error
+	permanent := errors.New("permanent")
+	for _, test := range []struct {
+		errs      []error
+		wantCalls int
+		wantErr   error
 	}{
 		{nil, 1, nil},
 		{[]error{syscall.ENFILE, &net.OpError{Op: "listen", Err: os.NewSyscallError("socket", syscall.ENOBUFS)}}, 3,
 			nil},
-		{[]error{lasting}, 1, lasting},
+		{[]error{permanent}, 1, permanent},
 		{[]error{syscall.EMFILE, fmt.Errorf("listen: %w", syscall.EADDRINUSE)}, 2, syscall.EADDRINUSE},
 	} {
 		calls := 0
 		value, err := RetryValue(func() (int, error) {
 			calls++
-			if calls <= len(c.fails) {
-				return 0, c.fails[calls-1]
+			if calls <= len(test.errs) {
+				return 0, test.errs[calls-1]
 			}
 			return 7, nil
 		})
-		if calls != c.calls || !errors.Is(err, c.want) || (err == nil) != (value == 7) {
-			t.Errorf("%v: %d calls, %v, %v", c.fails, calls, value, err)
+		if calls != test.wantCalls || !errors.Is(err, test.wantErr) || (err == nil) != (value == 7) {
+			t.Errorf("%v: %d calls, %v, %v", test.errs, calls, value, err)
 		}
 	}
 }
