--- a/internal/admin/limit.go
+++ b/internal/admin/limit.go
@@ -28,6 +28,7 @@
 	freed chan struct{}        // signals that a connection was closed
 }
 
+// newConnectionLimit returns a limit of maxConnections open connections.
 func newConnectionLimit(maxConnections int) *connectionLimit {
 	return &connectionLimit{max: maxConnections, freed: make(chan struct{}, 1)}
 }
@@ -47,6 +48,7 @@
 	return c.Conn.Close()
 }
 
+// remove removes a closed connection and signals freed.
 func (l *connectionLimit) remove(c *limitedConnection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -82,7 +84,7 @@
 	counters *Counters
 }
 
-// Accept waits for a connection and until the limit allows it. It evicts another connection if necessary.
+// Accept waits for a connection, and then until the limit has room for it. It evicts another connection if necessary.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	conn, err := l.acceptWithRetry()
 	if err != nil {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -230,7 +230,7 @@
 	staleErr, listErr, sizeErr, endpointErr, statusErr :=
 		&StaleError{}, &ListError{}, &SizeError{}, &EndpointError{}, &StatusError{}
 	if err := watch(`{"version":4,"full":false}`); !errors.As(err, &staleErr) || staleErr.Version != 4 ||
-		staleErr.Held != 5 {
+		staleErr.Current != 5 {
 		t.Errorf("an older version: %v", err)
 	}
 	if err := watch("<html>"); !errors.As(err, &listErr) {
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -38,10 +38,10 @@
 func (e *ListError) Unwrap() error { return e.Err }
 
 // StaleError reports a list that is older than the current one.
-type StaleError struct{ Version, Held int64 }
+type StaleError struct{ Version, Current int64 }
 
 func (e *StaleError) Error() string {
-	return fmt.Sprintf("the discovery service sent list version %d, older than %d", e.Version, e.Held)
+	return fmt.Sprintf("the discovery service sent list version %d, older than %d", e.Version, e.Current)
 }
 
 // SizeError reports a list that exceeds the size limit.
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -49,7 +49,7 @@
 	currentVersion := sinceVersion
 	accept := func(list *EndpointList) error {
 		if list.Version < currentVersion && !c.acceptOlderList(list) {
-			return &StaleError{Version: list.Version, Held: currentVersion}
+			return &StaleError{Version: list.Version, Current: currentVersion}
 		}
 		currentVersion = list.Version
 		c.olderListRejected.Store(false)
--- a/internal/settings/balance.go
+++ b/internal/settings/balance.go
@@ -14,7 +14,7 @@
 	}
 )
 
-// Cores of a server with weight 1, where weights are numbers of cores and where they are relative sizes.
+// Cores per unit of server weight, for weights that are numbers of cores and for relative weights.
 const (
 	coresPerNominalWeight = 1
 	coresPerOtherWeight   = 2
@@ -54,7 +54,8 @@
 	for _, quota := range s.Workload.ConnectionQuotas {
 		config.ConnectionCapacity += max(quota, 0)
 	}
-	// Without gossip and timeout uncertainty, the balancer learns the duration of attempts from experience.
+	// Connect objectives are needed only with gossip or timeout uncertainty. Otherwise, the balancer estimates the
+	// duration of attempts from earlier ones.
 	useObjectives := config.GossipEnabled || config.TimeoutUncertainty > 0
 	for i, class := range s.Classes {
 		config.Classes[class.Name] = s.balanceClass(i, useObjectives)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,7 +9,7 @@
 	"brassmux/balance"
 )
 
-// Guards against settings that are lost or converted to the wrong unit, and against unknown keys or values that cause errors.
+// Guards against settings that are lost or converted to the wrong unit, and against errors at unknown keys or values.
 func TestBalanceConfig(t *testing.T) {
 	var site Site
 	if err := json.Unmarshal([]byte(`{"balancers":2,"tick_us":5000,"membership_mode":"pushed","a_new_key":{},
--- a/internal/settings/site.go
+++ b/internal/settings/site.go
@@ -24,8 +24,8 @@
 // Values of the fields of Site and Report.
 const (
 	MembershipPushed = "pushed"  // changes of the endpoint list arrive without a watch
-	WeightNominal    = "nominal" // a weight is an exact number of cores
-	WeightRough      = "rough"   // a weight is an approximate number of cores
+	WeightNominal    = "nominal" // a weight is a number of cores
+	WeightRough      = "rough"   // a weight is approximately a number of cores
 	ReportNone       = "none"    // servers send no load reports
 )
 
--- a/internal/sim/gossip/gossip.go
+++ b/internal/sim/gossip/gossip.go
@@ -63,6 +63,7 @@
 	return out
 }
 
+// encodeLoad returns the number of steps from minLoad to a load.
 func encodeLoad(load float64) uint64 {
 	if load > minLoad {
 		steps := math.Round(math.Log(load/minLoad) / math.Log(loadStep))
@@ -71,6 +72,7 @@
 	return 0
 }
 
+// decodeLoad returns the load that is a number of steps above minLoad, or 0 for no steps.
 func decodeLoad(steps uint64) float64 {
 	if steps == 0 {
 		return 0
--- a/internal/sim/wire/message.go
+++ b/internal/sim/wire/message.go
@@ -42,6 +42,7 @@
 	Servers []server `json:"elements"`
 }
 
+// server is an entry of an endpointUpdate.
 type server struct {
 	Weight          float64           `json:"weight"`
 	Cell            int               `json:"unit_group"`
@@ -96,6 +97,7 @@
 	"C": balance.ListCached,
 }
 
+// outcomes lists the outcomes by their code in the protocol.
 var outcomes = []balance.Outcome{
 	balance.ServerError,
 	balance.OK,
--- a/internal/upgrade/link.go
+++ b/internal/upgrade/link.go
@@ -28,7 +28,8 @@
 	return newLink(conn)
 }
 
-// newLink returns a link over conn, or closes conn if the process at the other end belongs to another user.
+// newLink returns a link over conn. It closes conn and returns a *UserError if the process at the other end belongs to
+// another user.
 func newLink(conn *net.UnixConn) (*Link, error) {
 	if err := checkUser(conn); err != nil {
 		conn.Close()
--- a/internal/upgrade/message.go
+++ b/internal/upgrade/message.go
@@ -49,7 +49,7 @@
 }
 
 const (
-	// maxMessageBytes is the largest packet that fits the socket's default buffer.
+	// maxMessageBytes bounds a message, so that it fits the socket's default buffer as one packet.
 	maxMessageBytes = 64 << 10
 
 	// socketsPerConnection is the client's socket and the server's.
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -40,6 +40,7 @@
 	return predecessor, successor
 }
 
+// testDeadline returns the deadline for a wait that begins now.
 func testDeadline() time.Time { return time.Now().Add(testTimeout) }
 
 // tcpPair returns the two ends of a TCP connection.
