--- a/budget/follower_test.go
+++ b/budget/follower_test.go
@@ -147,3 +147,20 @@
 			*secondCounters)
 	}
 }
+
+// Two processes with the same index that start together must not both use the reservation either. Until one of them
+// delegates, the leader replaces its record of the index at each request of the other, and reports no duplicate.
+func TestDuplicateIndexStartedTogether(t *testing.T) {
+	sim := newTreeSimulation(3, treeSize{1, 4, 1, 0.5, 8}, 0,
+		&Rule{Limit: 8, Window: 2 * time.Second, NoDelegation: true})
+	sim.nodes[1].index = 0
+	sim.startNode(1)
+	for range 2000 {
+		sim.step(10 * time.Millisecond)
+		sim.useAny(0)
+		sim.useAny(1)
+	}
+	if got := sim.maxUsed(); got != 2 {
+		t.Errorf("%d units used in a window by an index with a reservation of 2", got)
+	}
+}
