--- a/lab/capacity/control.go
+++ b/lab/capacity/control.go
@@ -226,8 +226,8 @@
 			return err
 		}
 		s.Length, s.Nodes, s.Servers = fleet.Duration(6*time.Second), n, max(n/4, 2)
-		s.Clients.Initial, s.Clients.PerSecond, s.Clients.Groups = 3*n, float64(n)/16, max(n*3/8, 1)
-		s.Discovery.PerSecond, s.Discovery.QueueLimit = float64(n)/5, n
+		s.Clients.Initial, s.Clients.ArrivalsPerSecond, s.Clients.Groups = 3*n, float64(n)/16, max(n*3/8, 1)
+		s.Discovery.CallsPerSecond, s.Discovery.QueueLimit = float64(n)/5, n
 		s.Quotas = fleet.Quotas{Leased: true, GuaranteedFraction: 0.5, LeaseTerm: fleet.Duration(time.Second), HeartbeatInterval: fleet.Duration(beat)}
 		s.Faults[0].At, s.Faults[0].Stagger = fleet.Duration(2*time.Second), fleet.Duration(3*time.Second)
 		if err := s.Check(); err != nil {
--- a/lab/checker/attempts.go
+++ b/lab/checker/attempts.go
@@ -108,6 +108,6 @@
 
 // inKnownSlowStart tells whether a server is in a slow start of which the node was notified. c.mu is held.
 func (c *Checker) inKnownSlowStart(key nodeServer, entered, started time.Time) bool {
-	return !started.IsZero() && entered.Before(started.Add(c.config.SlowStartDuration)) &&
+	return !started.IsZero() && entered.Before(started.Add(c.config.SlowStartWindow)) &&
 		c.knownStarts[key].Equal(started.Truncate(time.Millisecond))
 }
--- a/lab/checker/checker.go
+++ b/lab/checker/checker.go
@@ -34,11 +34,11 @@
 	// of a request after its first; "open_per_customer" counts connections at the same time.
 	RateLimits map[string]int
 
-	// SlowStartLimit returns the attempts that a server in slow start may get within SlowStartWindow, by its age at the
+	// SlowStartLimit returns the attempts that a server in slow start may get within OverloadWindow, by its age at the
 	// end of the window, from all nodes that know of its start. MaxSlowStartSends adds a margin.
-	SlowStartWindow   time.Duration
-	SlowStartLimit    func(age time.Duration) float64
-	SlowStartDuration time.Duration
+	OverloadWindow  time.Duration
+	SlowStartLimit  func(age time.Duration) float64
+	SlowStartWindow time.Duration
 
 	DepartureGrace time.Duration // from a client's departure to the last start of an attempt for it, at most
 
@@ -90,7 +90,7 @@
 	SlowStartSends       int     // attempts at servers in slow start by nodes that knew of it
 	Retries              int     // attempts after the first of their request
 	MaxOpen              int     // connections of one customer at the same time, at most; 0 without a limit of them
-	Foreign              int     // requests that servers got but no client reported: another run uses the same ports
+	ForeignRequests      int     // requests that servers got but no client reported: another run uses the same ports
 	SlowStartUtilization float64 // of the fullest window of a server in slow start; 1 is the limit
 }
 
--- a/lab/checker/checker_test.go
+++ b/lab/checker/checker_test.go
@@ -12,8 +12,8 @@
 	c.RequestSent("a", 0, "c", Idempotent, time.Now(), time.Now())
 	c.AttemptReceived(0, "s", "a", time.Now(), time.Time{})
 	c.AttemptReceived(0, "s", "b", time.Now(), time.Time{})
-	if c.Check(time.Now()); c.Foreign != 1 {
-		t.Errorf("%d foreign", c.Foreign)
+	if c.Check(time.Now()); c.ForeignRequests != 1 {
+		t.Errorf("%d foreign", c.ForeignRequests)
 	}
 }
 
@@ -45,7 +45,7 @@
 	config := Config{
 		AnswerGrace: 70 * time.Millisecond, DrainGrace: 500 * time.Millisecond, Slack: 100 * time.Millisecond,
 		DepartureGrace: 100 * time.Millisecond, IdempotencyWindow: 2 * time.Second, ReadyTimeout: 10 * time.Second,
-		SlowStartWindow: 2100 * time.Millisecond, SlowStartDuration: time.Minute,
+		OverloadWindow: 2100 * time.Millisecond, SlowStartWindow: time.Minute,
 		RateLimits:     map[string]int{"retries_per_s": 2, "opens_per_s": 2, "open_per_customer": 5},
 		SlowStartLimit: func(time.Duration) float64 { return 4 },
 	}
--- a/lab/checker/golden_test.go
+++ b/lab/checker/golden_test.go
@@ -18,7 +18,7 @@
 	c := New(Config{
 		AnswerGrace: 70 * time.Millisecond, DrainGrace: 500 * time.Millisecond, Slack: 100 * time.Millisecond,
 		DepartureGrace: 100 * time.Millisecond, IdempotencyWindow: 2 * time.Second, ReadyTimeout: 10 * time.Second,
-		SlowStartWindow: 2100 * time.Millisecond, SlowStartDuration: time.Minute,
+		OverloadWindow: 2100 * time.Millisecond, SlowStartWindow: time.Minute,
 		RateLimits:     map[string]int{"retries_per_s": 2, "opens_per_s": 1, "open_per_customer": 3},
 		SlowStartLimit: func(time.Duration) float64 { return 1 },
 	})
@@ -52,7 +52,7 @@
 	data, err := json.Marshal(violations)
 	fmt.Fprintln(&text, string(data), err, violations.Any(), c.LastServer("twice"), c.LastServer("none"))
 	fmt.Fprintln(&text, c.Excused, c.Answered, c.SlowStartSends, c.Retries,
-		c.MaxOpen, c.Foreign, c.SlowStartUtilization)
+		c.MaxOpen, c.ForeignRequests, c.SlowStartUtilization)
 	slices.Sort(messages) // some of its lines come in the order of a map
 	fmt.Fprintln(&text, strings.Join(messages, "\n"))
 	want, err := os.ReadFile("testdata/golden.txt")
--- a/lab/checker/limits.go
+++ b/lab/checker/limits.go
@@ -39,7 +39,7 @@
 
 // checkSlowStartWindows checks each window that ends with an attempt at one server. c.mu is held.
 func (c *Checker) checkSlowStartWindows(sends []send) {
-	window := c.config.SlowStartWindow - c.config.Slack
+	window := c.config.OverloadWindow - c.config.Slack
 	first := 0
 	for i, s := range sends {
 		for s.at.Sub(sends[first].at) >= window {
--- a/lab/checker/verdict.go
+++ b/lab/checker/verdict.go
@@ -13,10 +13,10 @@
 func (c *Checker) Check(now time.Time) (Violations, []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.Foreign, c.Excused, c.Answered, c.SlowStartSends, c.Retries = 0, 0, 0, len(c.slowStartSends), c.retries
+	c.ForeignRequests, c.Excused, c.Answered, c.SlowStartSends, c.Retries = 0, 0, 0, len(c.slowStartSends), c.retries
 	for id := range c.attempts {
 		if c.requests[id] == nil {
-			c.Foreign++
+			c.ForeignRequests++
 		}
 	}
 	c.checkAnswers(now)
--- a/lab/emulator/link.go
+++ b/lab/emulator/link.go
@@ -75,11 +75,11 @@
 // conn is a connection whose two directions can have faults.
 type conn struct {
 	*net.TCPConn
-	in, out *Direction
-	node    int // at the other end
-	closed  chan struct{}
-	once    sync.Once
-	entered atomic.Int64 // when bytes last arrived, before any delay; Unix time in nanoseconds
+	in, out   *Direction
+	node      int // at the other end
+	closed    chan struct{}
+	once      sync.Once
+	arrivedAt atomic.Int64 // when bytes last arrived, before any delay; Unix time in nanoseconds
 }
 
 // Wrap returns a connection that applies in to what is read from c, and out to what is written to it.
@@ -87,8 +87,8 @@
 	return &conn{TCPConn: c, in: in, out: out, closed: make(chan struct{})}
 }
 
-// Entered returns when the bytes read last arrived, before the link delayed them.
-func (c *conn) Entered() time.Time { return time.Unix(0, c.entered.Load()) }
+// ArrivedAt returns when the bytes read last arrived, before the link delayed them.
+func (c *conn) ArrivedAt() time.Time { return time.Unix(0, c.arrivedAt.Load()) }
 
 func (c *conn) Close() error {
 	c.once.Do(func() { close(c.closed) })
@@ -150,7 +150,7 @@
 			}
 			return n, err
 		}
-		c.entered.Store(time.Now().UnixNano())
+		c.arrivedAt.Store(time.Now().UnixNano())
 		passed, cut := c.gate(c.in, n)
 		switch {
 		case passed < 0:
--- a/lab/emulator/server.go
+++ b/lab/emulator/server.go
@@ -22,20 +22,20 @@
 
 // Event is something that happened at a server.
 type Event struct {
-	At      time.Time
-	Entered time.Time // when its bytes arrived, before the link delayed them
-	Kind    EventKind
-	Server  *Server
-	Node    int    // the node at the other end
-	Request string // the request's ID
-	Client  string // the client's key
+	At        time.Time
+	ArrivedAt time.Time // when its bytes arrived, before the link delayed them
+	Kind      EventKind
+	Server    *Server
+	Node      int    // the node at the other end
+	Request   string // the request's ID
+	Client    string // the client's key
 }
 
 // ServerConfig has the capacity of a server.
 type ServerConfig struct {
-	Capacity        int           // connections at a utilization of 1
-	InitialFraction float64       // of the capacity at the server's start
-	WarmUp          time.Duration // in which the capacity grows to the whole
+	Capacity             int           // connections at a utilization of 1
+	SlowStartMinCapacity float64       // of the capacity at the server's start
+	SlowStartWindow      time.Duration // in which the capacity grows to the whole
 }
 
 // Server is a stand-in that speaks the servers' side of the protocol. Its methods may be called from any goroutine; the
@@ -95,11 +95,11 @@
 
 // CapacityFraction returns the fraction of the server's capacity that it has at a time, as it warms up.
 func (s *Server) CapacityFraction(now time.Time) float64 {
-	if s.Started.IsZero() || s.Config.WarmUp <= 0 {
+	if s.Started.IsZero() || s.Config.SlowStartWindow <= 0 {
 		return 1
 	}
-	age := float64(now.Sub(s.Started)) / float64(s.Config.WarmUp)
-	return s.Config.InitialFraction + (1-s.Config.InitialFraction)*min(max(age, 0), 1)
+	age := float64(now.Sub(s.Started)) / float64(s.Config.SlowStartWindow)
+	return s.Config.SlowStartMinCapacity + (1-s.Config.SlowStartMinCapacity)*min(max(age, 0), 1)
 }
 
 // Utilization returns the open connections over the present capacity.
--- a/lab/emulator/serverconn.go
+++ b/lab/emulator/serverconn.go
@@ -74,7 +74,7 @@
 }
 
 func (s *Server) newEvent(c *conn, fields []string) Event {
-	event := Event{At: time.Now(), Entered: c.Entered(), Kind: HealthChecked, Server: s, Node: c.node}
+	event := Event{At: time.Now(), ArrivedAt: c.ArrivedAt(), Kind: HealthChecked, Server: s, Node: c.node}
 	if fields[0] == "OPEN" && len(fields) >= openFields {
 		event.Kind, event.Request, event.Client = AttemptReceived, fields[1], fields[2]
 	}
--- a/lab/fleet/client.go
+++ b/lab/fleet/client.go
@@ -39,7 +39,7 @@
 
 // arrivalDelay draws the time to the next new client.
 func (sim *simulation) arrivalDelay() time.Duration {
-	return time.Duration(sim.random.ExpFloat64() / sim.scenario.Clients.PerSecond * float64(time.Second))
+	return time.Duration(sim.random.ExpFloat64() / sim.scenario.Clients.ArrivalsPerSecond * float64(time.Second))
 }
 
 // generateArrivals adds new clients until the scenario ends.
--- a/lab/fleet/discovery.go
+++ b/lab/fleet/discovery.go
@@ -15,7 +15,7 @@
 func (sim *simulation) watchEndpoints(n *node) {
 	sim.count(counterWatchCalls)
 	settings := sim.scenario.Discovery
-	serviceTime := time.Duration(float64(time.Second) / settings.PerSecond)
+	serviceTime := time.Duration(float64(time.Second) / settings.CallsPerSecond)
 	timeout := time.Duration(settings.CallTimeout)
 	calledAt := sim.now
 	fail := func(delay time.Duration) { n.schedule(delay, func() { n.failWatch(calledAt) }) }
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -104,7 +104,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	s.Nodes, s.Servers, s.Clients.Initial, s.Clients.PerSecond = 300, 100, 1200, 25
+	s.Nodes, s.Servers, s.Clients.Initial, s.Clients.ArrivalsPerSecond = 300, 100, 1200, 25
 	for b.Loop() {
 		Run(s, 1, NewBalancer)
 	}
--- a/lab/fleet/result.go
+++ b/lab/fleet/result.go
@@ -20,7 +20,7 @@
 	// Totals holds each counter over the whole run and all nodes.
 	Totals map[string]int `json:"totals"`
 	// Seconds holds each counter by second.
-	Seconds map[string][]int `json:"seconds"`
+	CountsPerSecond map[string][]int `json:"seconds"`
 	// MaxPerServer holds each counter's maximum at one server in one second.
 	MaxPerServer map[string]int `json:"one_host_1s"`
 	// Utilization is, by second, the load of all servers over their capacity.
@@ -65,12 +65,12 @@
 // count increments a counter.
 func (sim *simulation) count(counter string) {
 	second := sim.second()
-	counts := sim.result.Seconds[counter]
+	counts := sim.result.CountsPerSecond[counter]
 	for len(counts) <= second {
 		counts = append(counts, 0)
 	}
 	counts[second]++
-	sim.result.Seconds[counter] = counts
+	sim.result.CountsPerSecond[counter] = counts
 	sim.result.Totals[counter]++
 }
 
--- a/lab/fleet/scenario.go
+++ b/lab/fleet/scenario.go
@@ -30,12 +30,12 @@
 
 // Clients describes the clients.
 type Clients struct {
-	Initial        int         `toml:"standing"`   // connect at the start
-	PerSecond      float64     `toml:"per_second"` // new clients
-	MeanDuration   Duration    `toml:"life"`       // of a connection
-	Deadline       Duration    `toml:"deadline"`   // for an answer
-	ReconnectDelay [2]Duration `toml:"rejoin"`     // bounds of the delay after a rejection or a lost connection
-	Groups         int         `toml:"groups"`     // of clients that share work; the first is the largest
+	Initial           int         `toml:"standing"`   // connect at the start
+	ArrivalsPerSecond float64     `toml:"per_second"` // new clients
+	MeanDuration      Duration    `toml:"life"`       // of a connection
+	Deadline          Duration    `toml:"deadline"`   // for an answer
+	ReconnectDelay    [2]Duration `toml:"rejoin"`     // bounds of the delay after a rejection or a lost connection
+	Groups            int         `toml:"groups"`     // of clients that share work; the first is the largest
 }
 
 // Server describes each server.
@@ -54,7 +54,7 @@
 
 // Discovery describes the endpoint service, which serves the calls of all nodes one after another.
 type Discovery struct {
-	PerSecond        float64  `toml:"per_second"` // calls served
+	CallsPerSecond   float64  `toml:"per_second"` // calls served
 	CallTimeout      Duration `toml:"patience"`   // a call that waits for longer fails but is served all the same
 	QueueLimit       int      `toml:"places"`     // calls that may wait
 	PropagationDelay Duration `toml:"lag"`        // until a change of a server is known
--- a/lab/fleet/simulation.go
+++ b/lab/fleet/simulation.go
@@ -64,12 +64,12 @@
 		now:          startTime,
 		serverCounts: map[serverSecond]int{},
 		result: &Result{
-			Scenario:     s.Name,
-			Seed:         seed,
-			Totals:       map[string]int{},
-			Seconds:      map[string][]int{},
-			MaxPerServer: map[string]int{},
-			History:      []string{},
+			Scenario:        s.Name,
+			Seed:            seed,
+			Totals:          map[string]int{},
+			CountsPerSecond: map[string][]int{},
+			MaxPerServer:    map[string]int{},
+			History:         []string{},
 		},
 		servedSamples: make([]float64, samples),
 		wantedSamples: make([]float64, samples),
@@ -90,7 +90,7 @@
 	for range sim.scenario.Clients.Initial {
 		sim.schedule(sim.uniform(0, initialArrivalSpan), func() { sim.addClient() })
 	}
-	if sim.scenario.Clients.PerSecond > 0 {
+	if sim.scenario.Clients.ArrivalsPerSecond > 0 {
 		sim.schedule(sim.arrivalDelay(), sim.generateArrivals)
 	}
 	for _, f := range sim.scenario.Faults {
--- a/lab/fleet/validate.go
+++ b/lab/fleet/validate.go
@@ -53,7 +53,7 @@
 	delay := c.ReconnectDelay
 	return []requirement{
 		{"clients.standing", c.Initial >= 0 && c.Initial <= maxInitialClients, "0 to 1000000"},
-		{"clients.per_second", c.PerSecond >= 0 && c.PerSecond <= maxClientsPerSecond, "0 to 100000"},
+		{"clients.per_second", c.ArrivalsPerSecond >= 0 && c.ArrivalsPerSecond <= maxClientsPerSecond, "0 to 100000"},
 		{"clients.life", c.MeanDuration > 0, "over 0"},
 		{"clients.deadline", c.Deadline > 0, "over 0"},
 		{"clients.rejoin", delay[0] > 0 && delay[1] >= delay[0], "two times over 0, the shorter first"},
@@ -78,7 +78,7 @@
 
 func (d Discovery) requirements() []requirement {
 	return []requirement{
-		{"discovery.per_second", d.PerSecond > 0, "over 0"},
+		{"discovery.per_second", d.CallsPerSecond > 0, "over 0"},
 		{"discovery.patience", d.CallTimeout > 0, "over 0"},
 		{"discovery.places", d.QueueLimit > 0, "over 0"},
 		{"discovery.lag", d.PropagationDelay >= 0, "0 or more"},
--- a/lab/rig/result.go
+++ b/lab/rig/result.go
@@ -168,8 +168,8 @@
 	res.Lateness = float64(r.late.Microseconds()) / 1000
 	if r.failed != "" {
 		res.Void = r.failed
-	} else if r.ref.Foreign > 0 { // guards against what two rigs side by side do to each other: ports that are free again are taken anew
-		res.Void = fmt.Sprintf("%d requests of another rig came", r.ref.Foreign)
+	} else if r.ref.ForeignRequests > 0 { // guards against what two rigs side by side do to each other: ports that are free again are taken anew
+		res.Void = fmt.Sprintf("%d requests of another rig came", r.ref.ForeignRequests)
 	} else if r.late > lateMost {
 		res.Void = fmt.Sprintf("the rig was %v late", r.late.Round(time.Millisecond))
 	}
--- a/lab/rig/rig.go
+++ b/lab/rig/rig.go
@@ -97,8 +97,8 @@
 	r.ref = checker.New(checker.Config{
 		AnswerGrace: 70 * time.Millisecond, DrainGrace: time.Duration(v.Grace), Slack: 100 * time.Millisecond,
 		DepartureGrace: 100 * time.Millisecond, IdempotencyWindow: keyedWindow, ReadyTimeout: readyWithin,
-		RateLimits: s.Budgets.rates(), SlowStartWindow: time.Duration(v.FallWindow),
-		SlowStartDuration: time.Duration(v.ColdFor),
+		RateLimits: s.Budgets.rates(), OverloadWindow: time.Duration(v.FallWindow),
+		SlowStartWindow: time.Duration(v.ColdFor),
 		SlowStartLimit: func(age time.Duration) float64 { // by the mean share of the window
 			mean := max(age.Seconds()-time.Duration(v.FallWindow).Seconds()/2, 0) / time.Duration(v.ColdFor).Seconds()
 			share := min(v.ColdFrom+(1-v.ColdFrom)*mean, 1)
@@ -249,7 +249,7 @@
 
 func (r *rig) newServer(started time.Time) error {
 	kind := emulator.ServerConfig{
-		Capacity: r.s.Server.Holds, InitialFraction: r.s.Server.ColdFrom, WarmUp: time.Duration(r.s.Server.ColdFor),
+		Capacity: r.s.Server.Holds, SlowStartMinCapacity: r.s.Server.ColdFrom, SlowStartWindow: time.Duration(r.s.Server.ColdFor),
 	}
 	r.mu.Lock()
 	r.named++ // two may start at once
@@ -355,8 +355,8 @@
 	switch x.Kind {
 	case emulator.AttemptReceived:
 		r.count("attempts")
-		r.ref.RateLimitedEvent("connects_per_s", x.Server.ID, x.Entered, x.Entered)
-		r.ref.AttemptReceived(x.Node, x.Server.ID, x.Request, x.Entered, x.Server.Started)
+		r.ref.RateLimitedEvent("connects_per_s", x.Server.ID, x.ArrivedAt, x.ArrivedAt)
+		r.ref.AttemptReceived(x.Node, x.Server.ID, x.Request, x.ArrivedAt, x.Server.Started)
 		if !x.Server.Started.IsZero() {
 			r.count("attempts at servers that started")
 		}
@@ -367,7 +367,7 @@
 	case emulator.HealthChecked:
 		r.count("probes")
 		r.peak("probes "+x.Server.ID, x.At)
-		r.ref.RateLimitedEvent("probes_per_s", x.Server.ID, x.Entered, x.Entered)
+		r.ref.RateLimitedEvent("probes_per_s", x.Server.ID, x.ArrivedAt, x.ArrivedAt)
 	case emulator.ConnectionAccepted:
 		r.count("connections at servers")
 		r.peak("connections "+x.Server.ID, x.At)
