--- a/lab/fleet/attempt.go
+++ b/lab/fleet/attempt.go
@@ -6,11 +6,11 @@
 	"brassmux/balance"
 )
 
-// attempt is one try of a request at a server.
+// attempt is one attempt to connect a request to a server.
 type attempt struct {
 	request *request
 	server  *server
-	number  int // from 0
+	number  int // index among the request's attempts, from 0
 }
 
 // isPending reports whether the attempt is in flight.
@@ -18,14 +18,14 @@
 	return a.request.server == a.server && !a.request.accepted && !a.request.ended
 }
 
-// startAttempt sends a request to the server that its node has chosen.
+// startAttempt sends a request to the server that its node has selected.
 func (sim *simulation) startAttempt(r *request, action balance.Attempt) {
 	a := attempt{request: r, server: sim.serverByID(action.Server), number: r.attempts}
 	sim.countAtServer(counterAttempts, a.server)
 	r.attempts++
 	if r.server != nil {
-		sim.recordViolation(&sim.result.Violations.Duplicates, "node %d request %d: attempt %d while one is out",
-			r.node.index, r.id, a.number)
+		sim.recordViolation(&sim.result.Violations.Duplicates,
+			"node %d request %d: attempt %d while another is in flight", r.node.index, r.id, a.number)
 		return
 	}
 	sim.checkDrainGrace(a)
@@ -46,17 +46,19 @@
 	}
 }
 
-// checkDrainGrace records a violation if the node learned of the server's draining or removal too long ago.
+// checkDrainGrace records a violation if the grace period has passed since the node was notified that the server is
+// draining or removed.
 func (sim *simulation) checkDrainGrace(a attempt) {
-	n, id := a.request.node, a.server.endpoint.ID
-	seenAt, seen := n.removalSeenAt[id]
+	n, serverID := a.request.node, a.server.endpoint.ID
+	seenAt, seen := n.removalSeenAt[serverID]
 	if seen && sim.now > seenAt+time.Duration(sim.scenario.Server.DrainGrace) {
-		sim.recordViolation(&sim.result.Violations.LateSends, "node %d request %d: sent to server %d, told %v ago",
-			n.index, a.request.id, id, (sim.now - seenAt).Round(time.Millisecond))
+		sim.recordViolation(&sim.result.Violations.LateSends,
+			"node %d request %d: sent to server %d, notified of its drain %v ago",
+			n.index, a.request.id, serverID, (sim.now - seenAt).Round(time.Millisecond))
 	}
 }
 
-// failAttempt ends an attempt after a delay without a connection.
+// failAttempt reports after a delay that an attempt failed to connect.
 func (sim *simulation) failAttempt(a attempt, delay time.Duration) {
 	r := a.request
 	r.node.schedule(delay, func() {
@@ -69,7 +71,7 @@
 	})
 }
 
-// accept makes an attempt a connection, unless its server has failed since it was sent.
+// accept turns an attempt into a connection, or ends it if its server has failed since the attempt was sent.
 func (sim *simulation) accept(a attempt) {
 	r, s := a.request, a.server
 	if !a.isPending() {
@@ -95,8 +97,8 @@
 	sim.schedule(max(r.client.wantedUntil-sim.now, 0), func() { sim.endConnection(r, balance.OK, false) })
 }
 
-// endConnection ends an accepted connection; goAway tells that the server asked the client to leave. It does nothing
-// if the connection has ended before.
+// endConnection ends an accepted connection. goAway indicates that the server requested the end. It does nothing if the
+// connection has already ended.
 func (sim *simulation) endConnection(r *request, outcome balance.Outcome, goAway bool) {
 	if !r.accepted || r.ended {
 		return
@@ -118,7 +120,7 @@
 	}
 }
 
-// remove takes a connection and its load from the server.
+// remove deletes a connection and subtracts its load from the server.
 func (s *server) remove(r *request) {
 	delete(s.connections, r)
 	s.load -= r.client.load
--- a/lab/fleet/client.go
+++ b/lab/fleet/client.go
@@ -12,37 +12,37 @@
 	maxClientLoad = 4.0
 )
 
-// client wants one connection for a while.
+// client keeps one connection open, and reconnects as needed, until wantedUntil.
 type client struct {
 	key, group  string
 	load        float64 // in mean connections
 	wantedUntil time.Duration
-	connection  *request // nil while it is not connected
+	connection  *request // nil while the client is not connected
 }
 
 // request is a client's request to a node and, once accepted, its connection.
 type request struct {
 	id          balance.RequestID
 	node        *node
-	incarnation int // of the node when it took the request
+	incarnation int // of the node when it received the request
 	client      *client
 	deadline    time.Duration
 	attempts    int
-	server      *server // of the attempt in flight or of the connection
+	server      *server // of the attempt in flight or of the accepted connection; otherwise nil
 	accepted    bool
 	answered    bool
 	ended       bool
 }
 
-// isCurrent reports whether the node that took the request is still in the same incarnation.
+// isCurrent reports whether the node that received the request is up and has not restarted since.
 func (r *request) isCurrent() bool { return r.node.alive && r.incarnation == r.node.incarnation }
 
-// arrivalDelay draws the time to the next new client.
+// arrivalDelay draws a random delay until the next new client arrives.
 func (sim *simulation) arrivalDelay() time.Duration {
 	return time.Duration(sim.random.ExpFloat64() / sim.scenario.Clients.ArrivalsPerSecond * float64(time.Second))
 }
 
-// generateArrivals adds new clients until the scenario ends.
+// generateArrivals adds a client and schedules the next arrival, until the scenario ends.
 func (sim *simulation) generateArrivals() {
 	if sim.ended() {
 		return
@@ -51,7 +51,7 @@
 	sim.schedule(sim.arrivalDelay(), sim.generateArrivals)
 }
 
-// addClient adds a client, which connects at once.
+// addClient creates a client and connects it immediately.
 func (sim *simulation) addClient() {
 	settings := sim.scenario.Clients
 	c := &client{
@@ -59,7 +59,7 @@
 		load:        min(sim.random.ExpFloat64()*(1-minClientLoad)+minClientLoad, maxClientLoad),
 		wantedUntil: sim.now + time.Duration(sim.random.ExpFloat64()*float64(settings.MeanDuration)),
 	}
-	if settings.Groups > 0 { // the product of two draws makes the first groups large
+	if settings.Groups > 0 { // the product of two uniform draws makes the first groups the largest
 		group := int(sim.random.Float64() * sim.random.Float64() * float64(settings.Groups))
 		c.group = fmt.Sprintf("g%d", group)
 	}
@@ -67,11 +67,11 @@
 	sim.connect(c, false)
 }
 
-// scheduleReconnect has a client connect again after a delay if it still wants a connection then.
+// scheduleReconnect connects a client again after a random delay, unless it no longer wants a connection by then.
 func (sim *simulation) scheduleReconnect(c *client) {
 	c.connection = nil
-	delay := sim.scenario.Clients.ReconnectDelay
-	sim.schedule(sim.uniform(time.Duration(delay[0]), time.Duration(delay[1])), func() {
+	bounds := sim.scenario.Clients.ReconnectDelay
+	sim.schedule(sim.uniform(time.Duration(bounds[0]), time.Duration(bounds[1])), func() {
 		if sim.now < c.wantedUntil && !sim.ended() {
 			sim.connect(c, true)
 		}
@@ -79,7 +79,7 @@
 }
 
 // connect sends a client's request to a random node.
-func (sim *simulation) connect(c *client, reconnect bool) {
+func (sim *simulation) connect(c *client, isReconnect bool) {
 	n := sim.nodes[sim.random.IntN(len(sim.nodes))]
 	if !n.alive || n.leaving {
 		sim.count(counterNodeDown)
@@ -93,13 +93,13 @@
 	sim.count(counterRequests)
 	sim.schedule(timeout, func() { sim.checkAnswered(r) })
 	n.handle(balance.Request{ID: r.id, Class: className, ClientKey: c.key, Group: c.group,
-		Timeout: timeout, Reconnect: reconnect})
+		Timeout: timeout, Reconnect: isReconnect})
 }
 
-// checkAnswered records a violation if a request has no answer at its deadline.
+// checkAnswered records a violation if a request is unanswered at its deadline.
 func (sim *simulation) checkAnswered(r *request) {
 	if !r.answered && r.isCurrent() {
-		sim.recordViolation(&sim.result.Violations.Unanswered, "node %d request %d: no answer in its time",
+		sim.recordViolation(&sim.result.Violations.Unanswered, "node %d request %d: no answer before the deadline",
 			r.node.index, r.id)
 		r.answered = true
 		sim.scheduleReconnect(r.client)
--- a/lab/fleet/counters.go
+++ b/lab/fleet/counters.go
@@ -1,6 +1,6 @@
 package fleet
 
-// Names of the counters in a result. Readers of results know them by these strings.
+// Names of the counters in a result. They are part of the result format, so they must not change.
 const (
 	counterRequests             = "requests"
 	counterNodeDown             = "node_not_there"
@@ -27,5 +27,5 @@
 	counterExpiredLeases        = "budget: grants lapsed"
 	counterLeaderChanges        = "budget: changes of keeper"
 
-	counterRejectedPrefix = "refused: " // followed by the reason
+	counterRejectedPrefix = "refused: " // followed by the reason of the rejection
 )
--- a/lab/fleet/digest_test.go
+++ b/lab/fleet/digest_test.go
@@ -10,16 +10,16 @@
 	"testing"
 )
 
-var updateDigests = flag.Bool("update", false, "write testdata/digests.txt anew from what runs now")
+var updateDigests = flag.Bool("update", false, "rewrite testdata/digests.txt from the current results")
 
 const (
 	digestFile   = "testdata/digests.txt"
-	digestSeeds  = 20 // of each scenario, with fixed quotas
-	leasedSeeds  = 5  // of each scenario, with leased quotas
-	digestLength = 16 // bytes of the hash that are kept
+	digestSeeds  = 20 // seeds of each scenario with fixed quotas
+	leasedSeeds  = 5  // seeds of each scenario with leased quotas
+	digestLength = 16 // stored bytes of each hash
 )
 
-// digestRun is one run whose result is kept as a digest.
+// digestRun identifies a run whose result has a stored digest.
 type digestRun struct {
 	scenario string
 	seed     uint64
@@ -34,19 +34,19 @@
 	return fmt.Sprintf("%s %s %d", r.scenario, quotas, r.seed)
 }
 
-// digest plays the run and hashes its whole result.
+// digest performs the run and returns the hash of its result.
 func (r digestRun) digest(t *testing.T) string {
 	t.Helper()
-	s := load(t, r.scenario)
+	scenario := load(t, r.scenario)
 	if r.leased {
-		s.Quotas = leasedQuotas()
+		scenario.Quotas = leasedQuotas()
 	}
-	result, err := json.Marshal(Run(s, r.seed, NewBalancer))
+	result, err := json.Marshal(Run(scenario, r.seed, NewBalancer))
 	if err != nil {
 		t.Fatal(err)
 	}
-	sum := sha256.Sum256(result)
-	return fmt.Sprintf("%x", sum[:digestLength])
+	hash := sha256.Sum256(result)
+	return fmt.Sprintf("%x", hash[:digestLength])
 }
 
 func digestRuns() (runs []digestRun) {
@@ -61,7 +61,7 @@
 	return runs
 }
 
-// writeDigests keeps today's digests.
+// writeDigests stores the digests of the current results.
 func writeDigests(t *testing.T) {
 	t.Helper()
 	var text strings.Builder
@@ -86,15 +86,16 @@
 	return expected
 }
 
-// The decisions of whole fleets stay the same to the byte: a change that is meant to move one of these digests says so.
-func TestResultsOfEmbeddedScenariosMatchTheirDigests(t *testing.T) {
+// Guards against unintended changes of the nodes' decisions: results must match the stored digests byte for byte. A
+// commit that changes a digest on purpose says so.
+func TestEmbeddedScenariosMatchDigests(t *testing.T) {
 	if *updateDigests {
 		writeDigests(t)
 	}
 	expected := readDigests(t)
 	runs := digestRuns()
 	if len(expected) != len(runs) {
-		t.Fatalf("%d digests are expected, %d runs are played", len(expected), len(runs))
+		t.Fatalf("%d digests are stored for %d runs", len(expected), len(runs))
 	}
 	for _, run := range runs {
 		t.Run(run.String(), func(t *testing.T) {
--- a/lab/fleet/discovery.go
+++ b/lab/fleet/discovery.go
@@ -7,11 +7,11 @@
 	"brassmux/balance"
 )
 
-// maxUpdateDelay bounds the time from discovery's knowledge of a change to a watching node.
+// maxUpdateDelay is the maximum time from the publication of a change to its delivery to a watching node.
 const maxUpdateDelay = 100 * time.Millisecond
 
-// watchEndpoints calls discovery for a node. Calls are served one after another; one that waits beyond the timeout
-// fails but still takes its service time, and one beyond the queue limit fails at once.
+// watchEndpoints makes a node's call of discovery. Calls are processed one at a time. A call that waits longer than the
+// timeout fails but still takes its processing time; a call beyond the queue limit fails immediately.
 func (sim *simulation) watchEndpoints(n *node) {
 	sim.count(counterWatchCalls)
 	settings := sim.scenario.Discovery
@@ -43,33 +43,33 @@
 	})
 }
 
-// breakWatch notifies a node that its watch has ended.
+// breakWatch notifies the node that its watch has ended.
 func (n *node) breakWatch() {
 	n.sim.count(counterBrokenWatches)
 	n.handle(balance.EndpointUpdate{Kind: balance.WatchBroken})
 }
 
-// failWatch notifies a node that its call has failed.
+// failWatch notifies the node that its call of discovery has failed.
 func (n *node) failWatch(calledAt time.Duration) {
 	n.sim.count(counterFailedWatchCalls)
 	n.handle(balance.EndpointUpdate{Kind: balance.WatchFailed, ServiceWait: n.sim.now - calledAt})
 }
 
-// deliverChanges brings a node the endpoint changes that it has not seen.
+// deliverChanges delivers the endpoint changes that the node has not received yet.
 func (n *node) deliverChanges() {
 	changes := n.sim.endpointChanges[n.changesSeen:]
 	n.changesSeen = len(n.sim.endpointChanges)
-	for _, s := range changes {
-		if _, seen := n.removalSeenAt[s.ID]; s.State == balance.Ready {
-			delete(n.removalSeenAt, s.ID)
+	for _, endpoint := range changes {
+		if _, seen := n.removalSeenAt[endpoint.ID]; endpoint.State == balance.Ready {
+			delete(n.removalSeenAt, endpoint.ID)
 		} else if !seen {
-			n.removalSeenAt[s.ID] = n.sim.now
+			n.removalSeenAt[endpoint.ID] = n.sim.now
 		}
 	}
 	n.handle(balance.EndpointUpdate{Kind: balance.ListDelta, Servers: slices.Clone(changes)})
 }
 
-// publish makes a server's endpoint known to discovery after the propagation delay, and to the nodes that watch.
+// publish adds a server's endpoint to discovery after the propagation delay, and delivers it to the watching nodes.
 func (sim *simulation) publish(s *server) {
 	endpoint := s.endpoint
 	sim.schedule(time.Duration(sim.scenario.Discovery.PropagationDelay), func() {
--- a/lab/fleet/faults.go
+++ b/lab/fleet/faults.go
@@ -6,7 +6,7 @@
 	"brassmux/balance"
 )
 
-// injectors holds what injects each kind of fault.
+// injectors maps each kind of fault to the function that injects it.
 var injectors = map[string]func(*simulation, Fault){
 	"discovery_down":  (*simulation).stopDiscovery,
 	"kill_nodes":      (*simulation).killNodes,
@@ -17,12 +17,12 @@
 	"slow_servers":    (*simulation).slowServers,
 }
 
-// delay returns when the fault befalls the target with an index among a count of targets.
+// delay returns the delay after which the fault affects the target at an index, out of count targets.
 func (f Fault) delay(index, count int) time.Duration {
 	return time.Duration(float64(f.Stagger) * float64(index) / float64(max(count, 1)))
 }
 
-// injectStaggered injects a fault into a sample of count targets, one after another.
+// injectStaggered injects a fault into a random sample of count targets, one after another.
 func (sim *simulation) injectStaggered(f Fault, count int, inject func(target int)) {
 	targets := sim.sample(count, f.Fraction)
 	for i, target := range targets {
@@ -62,7 +62,7 @@
 	}
 }
 
-// disconnectServers makes servers unreachable; they return in slow start.
+// disconnectServers makes servers unreachable for the fault's duration, after which they restart in slow start.
 func (sim *simulation) disconnectServers(f Fault) {
 	for _, i := range sim.sample(len(sim.servers), f.Fraction) {
 		s := sim.servers[i]
@@ -83,7 +83,7 @@
 	}
 }
 
-// kill ends a node and its connections; it starts again after a delay.
+// kill stops a node, resets its connections and starts the node again after the downtime.
 func (n *node) kill(downtime time.Duration) {
 	if !n.alive {
 		return
@@ -98,8 +98,8 @@
 			}
 		}
 	}
-	for id := balance.RequestID(1); id <= n.lastRequest; id++ { // in a fixed order, for equal random draws
-		if r := n.requests[id]; r != nil && !r.answered {
+	for requestID := balance.RequestID(1); requestID <= n.lastRequest; requestID++ { // fixed order: reproducible draws
+		if r := n.requests[requestID]; r != nil && !r.answered {
 			r.answered, r.ended = true, true
 			sim.scheduleReconnect(r.client)
 		}
@@ -107,8 +107,8 @@
 	sim.schedule(downtime, n.start)
 }
 
-// restart shuts a node down in order: it takes no new clients, migrates its connections for a while and starts again
-// without those that are left.
+// restart shuts a node down gracefully. The node accepts no new clients and migrates its connections for the shutdown
+// time; then the remaining connections are reset and the node starts again.
 func (n *node) restart(shutdown time.Duration) {
 	if !n.alive || n.leaving {
 		return
@@ -118,10 +118,10 @@
 		n.leases.perform(n.leases.member.Leave(n.sim.now))
 	}
 	const announceInterval, downtime = 50 * time.Millisecond, 50 * time.Millisecond
-	end := n.sim.now + shutdown
+	deadline := n.sim.now + shutdown
 	var announce func()
 	announce = func() {
-		if n.sim.now >= end {
+		if n.sim.now >= deadline {
 			n.kill(downtime)
 			return
 		}
@@ -131,7 +131,7 @@
 	announce()
 }
 
-// replaceServer starts a new server and, once discovery knows it, drains and removes the old one.
+// replaceServer starts a new server. Once discovery has published it, the old server drains and is then removed.
 func (sim *simulation) replaceServer(old *server, drain time.Duration) {
 	if old.endpoint.State != balance.Ready {
 		return
--- a/lab/fleet/faults_test.go
+++ b/lab/fleet/faults_test.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-func TestEachFaultHasItsEffect(t *testing.T) {
-	calm := load(t, "calm")
-	for _, c := range []struct {
+// Each kind of fault must change the result; otherwise a scenario with it would test nothing.
+func TestFaultsAffectResult(t *testing.T) {
+	baseline := load(t, "calm")
+	for _, testCase := range []struct {
 		fault     Fault
-		hasEffect func(calm, r *Result) bool
+		hasEffect func(baseline, result *Result) bool
 	}{
-		{Fault{Kind: "discovery_down", Duration: Duration(5 * time.Second)}, func(calm, r *Result) bool {
-			return r.Totals["list calls failed"] > calm.Totals["list calls failed"]
+		{Fault{Kind: "discovery_down", Duration: Duration(5 * time.Second)}, func(baseline, result *Result) bool {
+			return result.Totals["list calls failed"] > baseline.Totals["list calls failed"]
 		}},
-		{Fault{Kind: "kill_nodes", Fraction: 0.5, Duration: Duration(time.Second)}, func(_, r *Result) bool {
-			return r.Totals["nodes killed"] == 40 && r.Totals["cut off"] > 0
+		{Fault{Kind: "kill_nodes", Fraction: 0.5, Duration: Duration(time.Second)}, func(_, result *Result) bool {
+			return result.Totals["nodes killed"] == 40 && result.Totals["cut off"] > 0
 		}},
-		{Fault{Kind: "reconnect", Fraction: 0.5}, func(calm, r *Result) bool {
-			return r.Totals["requests"] > calm.Totals["requests"]+50
+		{Fault{Kind: "reconnect", Fraction: 0.5}, func(baseline, result *Result) bool {
+			return result.Totals["requests"] > baseline.Totals["requests"]+50
 		}},
-		{Fault{Kind: "replace_servers", Fraction: 0.2, Duration: Duration(time.Second)}, func(_, r *Result) bool {
-			return r.Totals["sent away"] > 0
+		{Fault{Kind: "replace_servers", Fraction: 0.2, Duration: Duration(time.Second)}, func(_, result *Result) bool {
+			return result.Totals["sent away"] > 0
 		}},
-		{Fault{Kind: "lose_servers", Fraction: 0.3, Duration: Duration(5 * time.Second)}, func(_, r *Result) bool {
-			return r.Totals["cut off"] > 0 && r.Totals["probes in vain"] > 0
+		{Fault{Kind: "lose_servers", Fraction: 0.3, Duration: Duration(5 * time.Second)}, func(_, result *Result) bool {
+			return result.Totals["cut off"] > 0 && result.Totals["probes in vain"] > 0
 		}},
 		{Fault{Kind: "slow_servers", Fraction: 1, CapacityFraction: 0.2, Duration: Duration(10 * time.Second)},
-			func(calm, r *Result) bool { return r.Served < calm.Served }},
+			func(baseline, result *Result) bool { return result.Served < baseline.Served }},
 	} {
-		s := *calm
-		c.fault.At = Duration(15 * time.Second)
-		s.Faults = []Fault{c.fault}
-		if err := s.Check(); err != nil {
+		scenario := *baseline
+		testCase.fault.At = Duration(15 * time.Second)
+		scenario.Faults = []Fault{testCase.fault}
+		if err := scenario.Check(); err != nil {
 			t.Fatal(err)
 		}
-		if r := Run(&s, 1, NewBalancer); !c.hasEffect(Run(calm, 1, NewBalancer), r) {
-			t.Errorf("%s: served %.3f, %v", c.fault.Kind, r.Served, r.Totals)
+		if result := Run(&scenario, 1, NewBalancer); !testCase.hasEffect(Run(baseline, 1, NewBalancer), result) {
+			t.Errorf("%s: served %.3f, %v", testCase.fault.Kind, result.Served, result.Totals)
 		}
 	}
 }
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -10,36 +10,38 @@
 
 func load(t *testing.T, name string) *Scenario {
 	t.Helper()
-	s, err := Load(name)
+	scenario, err := Load(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s
+	return scenario
 }
 
 func TestEmbeddedScenariosHaveNoViolations(t *testing.T) {
 	if len(EmbeddedNames()) < 6 {
-		t.Fatalf("embedded are %v", EmbeddedNames())
+		t.Fatalf("got %v, want at least 6 embedded scenarios", EmbeddedNames())
 	}
 	for _, name := range EmbeddedNames() {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(3) {
-				r := Run(load(t, name), seed, NewBalancer)
-				if r.Violations.Any() {
-					t.Errorf("seed %d: %+v\n%s", seed, r.Violations, strings.Join(r.History, "\n"))
+				result := Run(load(t, name), seed, NewBalancer)
+				if result.Violations.Any() {
+					t.Errorf("seed %d: %+v\n%s", seed, result.Violations, strings.Join(result.History, "\n"))
 				}
-				if r.Totals["up"] < 300 || r.Served < 0.5 || r.Served > 1 || r.WorstWindow > r.Served {
-					t.Errorf("seed %d: served %.3f, worst %.3f, %d up", seed, r.Served, r.WorstWindow, r.Totals["up"])
+				if result.Totals["up"] < 300 || result.Served < 0.5 || result.Served > 1 ||
+					result.WorstWindow > result.Served {
+					t.Errorf("seed %d: served %.3f, worst %.3f, %d accepted",
+						seed, result.Served, result.WorstWindow, result.Totals["up"])
 				}
 			}
 		})
 	}
 }
 
-// Twenty or thirty nodes get as much traffic as eighty: each sends more to servers in slow start, by its fixed quota or
-// by leases, and together no more than the limit. Where each node has many clients (few-nodes) the limit is nearly
-// used; else the test would show nothing.
-func TestTwentyAndThirtyNodesOverloadNoServerInSlowStart(t *testing.T) {
+// Guards against an overload of servers in slow start by a smaller fleet with the same traffic, where each node sends
+// more attempts. Both fixed and leased quotas must keep the limit. The minimum utilization, highest where each node has
+// many clients (few-nodes), ensures that the limit is actually approached.
+func TestSmallFleetsRespectSlowStartLimit(t *testing.T) {
 	minUtilization := map[string]float64{
 		"calm":                 0,
 		"rolling-deploy":       0.2,
@@ -49,39 +51,40 @@
 		"overbooked-discovery": 0.2,
 		"few-nodes":            0.5,
 	}
-	for name, want := range minUtilization {
+	for name, utilization := range minUtilization {
 		for _, nodes := range []int{20, 30} {
 			fixed := load(t, name)
 			fixed.Nodes = nodes
-			checkSlowStart(t, fixed, 0, want)
+			checkSlowStart(t, fixed, 0, utilization)
 			leased := load(t, name)
 			leased.Nodes, leased.Quotas = nodes, leasedQuotas()
-			checkSlowStart(t, leased, 1, want)
+			checkSlowStart(t, leased, 1, utilization)
 		}
 	}
 }
 
-// leasedQuotas returns quotas that the nodes lease from one another.
+// leasedQuotas returns settings with which the nodes lease quotas from each other.
 func leasedQuotas() Quotas {
 	return Quotas{Leased: true, GuaranteedFraction: 0.5, LeaseTerm: Duration(time.Second),
 		HeartbeatInterval: Duration(400 * time.Millisecond)}
 }
 
-// checkSlowStart runs a scenario, in which no server may be overloaded and the limit is used to a fraction.
-func checkSlowStart(t *testing.T, s *Scenario, seed uint64, minUtilization float64) {
+// checkSlowStart runs a scenario and checks that no invariant is violated and that the utilization of the slow-start
+// limit is from minUtilization to 1.
+func checkSlowStart(t *testing.T, scenario *Scenario, seed uint64, minUtilization float64) {
 	t.Helper()
-	r := Run(s, seed, NewBalancer)
-	if r.Violations.Any() || r.SlowStartUtilization < minUtilization || r.SlowStartUtilization > 1 {
+	result := Run(scenario, seed, NewBalancer)
+	if result.Violations.Any() || result.SlowStartUtilization < minUtilization || result.SlowStartUtilization > 1 {
 		t.Errorf("%s, %d nodes, seed %d: %+v, %d sent to servers in slow start, maximum utilization %.2f\n%s",
-			s.Name, s.Nodes, seed, r.Violations, r.Totals["sent to cold servers"], r.SlowStartUtilization,
-			strings.Join(r.History, "\n"))
+			scenario.Name, scenario.Nodes, seed, result.Violations, result.Totals["sent to cold servers"],
+			result.SlowStartUtilization, strings.Join(result.History, "\n"))
 	}
 }
 
-func TestTheSameSeedGivesTheSameBytes(t *testing.T) {
-	s := load(t, "mass-restart")
+func TestRunIsDeterministic(t *testing.T) {
+	scenario := load(t, "mass-restart")
 	run := func(seed uint64) []byte {
-		data, err := json.Marshal(Run(s, seed, NewBalancer))
+		data, err := json.Marshal(Run(scenario, seed, NewBalancer))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -90,22 +93,22 @@
 	first := run(7)
 	for range 3 {
 		if !bytes.Equal(first, run(7)) {
-			t.Fatal("two runs with one seed differ")
+			t.Fatal("two runs with the same seed differ")
 		}
 	}
 	if bytes.Equal(first, run(8)) {
-		t.Error("two seeds give the same")
+		t.Error("runs with different seeds do not differ")
 	}
 }
 
-// 300 nodes on 100 servers for 40 s.
+// BenchmarkManyNodes simulates 300 nodes and 100 servers for 40 s.
 func BenchmarkManyNodes(b *testing.B) {
-	s, err := Load("many-replaced")
+	scenario, err := Load("many-replaced")
 	if err != nil {
 		b.Fatal(err)
 	}
-	s.Nodes, s.Servers, s.Clients.Initial, s.Clients.ArrivalsPerSecond = 300, 100, 1200, 25
+	scenario.Nodes, scenario.Servers, scenario.Clients.Initial, scenario.Clients.ArrivalsPerSecond = 300, 100, 1200, 25
 	for b.Loop() {
-		Run(s, 1, NewBalancer)
+		Run(scenario, 1, NewBalancer)
 	}
 }
--- a/lab/fleet/leases.go
+++ b/lab/fleet/leases.go
@@ -8,28 +8,28 @@
 	"brassmux/budget"
 )
 
-// budgetKind is the only kind of budget that is leased: the attempts at a server in slow start.
+// budgetKind identifies the only kind of budget that is leased: attempts at a server in slow start.
 const budgetKind = 1
 
-// leases divides the limits of servers in slow start among the nodes, as the node on sockets does. It implements
-// balance.SlowStartQuotas.
+// leases is a node's part in dividing the attempt limits of servers in slow start among the nodes. It uses package
+// budget like a node on sockets, and implements balance.SlowStartQuotas.
 type leases struct {
-	node             *node
-	config           balance.Config
-	member           *budget.Member
-	readySince       map[balance.ServerID]time.Duration // starts of the ready servers; 0 is long ago
-	firstStart       map[balance.ServerID]time.Duration // the start with which each was first listed
-	isRequestPending bool                               // a request waits for the end of the event
-	wakeAt           time.Duration                      // of the next tick
+	node           *node
+	config         balance.Config
+	member         *budget.Member
+	currentStart   map[balance.ServerID]time.Duration // start times of the ready servers; 0 means long ago
+	firstStart     map[balance.ServerID]time.Duration // start time with which each server was first listed
+	requestPending bool                               // a request is to be sent at the end of the event
+	nextTickAt     time.Duration                      // time of the next scheduled tick
 }
 
 func newLeases(n *node, config balance.Config, incarnation uint64) *leases {
 	quotas := n.sim.scenario.Quotas
 	l := &leases{
-		node:       n,
-		config:     config,
-		readySince: map[balance.ServerID]time.Duration{},
-		firstStart: map[balance.ServerID]time.Duration{},
+		node:         n,
+		config:       config,
+		currentStart: map[balance.ServerID]time.Duration{},
+		firstStart:   map[balance.ServerID]time.Duration{},
 		member: budget.New(budget.Settings{
 			Nodes:              config.NodeCount,
 			Index:              config.NodeIndex,
@@ -44,10 +44,10 @@
 }
 
 func (l *leases) budgetID(server balance.ServerID) budget.ID {
-	return budget.ID{Kind: budgetKind, Subject: uint64(server), Since: int64(l.readySince[server])}
+	return budget.ID{Kind: budgetKind, Subject: uint64(server), Since: int64(l.currentStart[server])}
 }
 
-// addTotals adds the counters of the node's incarnation to the result.
+// addTotals adds the member's counters, which cover one incarnation of the node, to the result.
 func (l *leases) addTotals() {
 	counters, totals := l.member.Counters, l.node.sim.result.Totals
 	totals[counterGuaranteedAttempts] += int(counters.Reserved)
@@ -57,63 +57,64 @@
 	totals[counterLeaderChanges] += int(counters.LeaderChanges)
 }
 
-// Remaining returns how many attempts at a server the node may start now.
+// Remaining returns the number of attempts at a server that the node may start now.
 func (l *leases) Remaining(server balance.ServerID) int {
 	return l.member.Available(l.node.sim.now, l.budgetID(server))
 }
 
-// RequestMore asks for a larger quota at the end of the event, and reports whether one can be had.
+// RequestMore schedules a request for a larger quota at the end of the event, and reports whether an answer will
+// follow.
 func (l *leases) RequestMore(server balance.ServerID) bool {
 	requested := l.member.Request(l.node.sim.now, l.budgetID(server))
-	l.isRequestPending = l.isRequestPending || requested
+	l.requestPending = l.requestPending || requested
 	return requested
 }
 
-// Take takes one attempt from the quota, and reports whether there was one left.
+// Take uses one attempt of the quota, and reports whether one was left.
 func (l *leases) Take(server balance.ServerID) bool {
 	return l.member.Acquire(l.node.sim.now, l.budgetID(server))
 }
 
-// afterEvent applies an endpoint list and sends the requests that the event gave rise to.
-func (l *leases) afterEvent(ev balance.Event) {
-	update, ok := ev.(balance.EndpointUpdate)
-	if ok && update.Kind != balance.WatchFailed && update.Kind != balance.WatchBroken {
+// afterEvent applies the endpoint list of an event, if it has one, and sends the requests made during the event.
+func (l *leases) afterEvent(event balance.Event) {
+	update, isUpdate := event.(balance.EndpointUpdate)
+	if isUpdate && update.Kind != balance.WatchFailed && update.Kind != balance.WatchBroken {
 		for _, endpoint := range update.Servers {
 			l.updateEndpoint(endpoint)
 		}
-		for id := range l.readySince {
+		for id := range l.currentStart {
 			l.defineBudget(id)
 		}
 	}
-	if l.isRequestPending {
+	if l.requestPending {
 		l.tick()
 	}
 }
 
-// updateEndpoint notes a server's state, and drops its budget when the start it is for has ended.
+// updateEndpoint records a server's state. It drops the server's budget if the server restarted or is no longer ready.
 func (l *leases) updateEndpoint(endpoint balance.Server) {
 	isReady := endpoint.State == balance.Ready
-	if startedAt, known := l.readySince[endpoint.ID]; known && (startedAt != endpoint.StartedAt || !isReady) {
+	if startedAt, known := l.currentStart[endpoint.ID]; known && (startedAt != endpoint.StartedAt || !isReady) {
 		l.member.Drop(l.budgetID(endpoint.ID))
-		delete(l.readySince, endpoint.ID)
+		delete(l.currentStart, endpoint.ID)
 	}
 	if _, known := l.firstStart[endpoint.ID]; !known {
 		l.firstStart[endpoint.ID] = endpoint.StartedAt
 	}
 	if isReady {
-		l.readySince[endpoint.ID] = endpoint.StartedAt
+		l.currentStart[endpoint.ID] = endpoint.StartedAt
 	}
 }
 
 // defineBudget defines the budget of a ready server while it is in slow start, and drops it afterwards.
 func (l *leases) defineBudget(id balance.ServerID) {
-	now, startedAt := l.node.sim.now, l.readySince[id]
+	now, startedAt := l.node.sim.now, l.currentStart[id]
 	if startedAt == 0 || now >= startedAt+l.config.SlowStartWindow {
 		l.member.Drop(l.budgetID(id))
 		return
 	}
-	limit, baseLimit := l.config.WarmServerAttemptLimit(len(l.readySince)), 1
-	if l.firstStart[id] != startedAt { // it restarted under its ID, and nodes that know only its old start send too
+	limit, baseLimit := l.config.WarmServerAttemptLimit(len(l.currentStart)), 1
+	if l.firstStart[id] != startedAt { // restarted under the same ID: nodes not yet notified also send to it
 		limit, baseLimit = limit*balance.NotifiedNodesFraction, 0
 	}
 	l.member.Define(now, budget.Spec{
@@ -128,11 +129,11 @@
 }
 
 func (l *leases) tick() {
-	l.isRequestPending = false
+	l.requestPending = false
 	l.perform(l.member.Tick(l.node.sim.now))
 }
 
-// send sends a message to the node with an index; it is lost if that node is down.
+// send delivers a message to the node at an index after the network delay. It is lost if that node is down by then.
 func (l *leases) send(index int, message budget.Message) {
 	sim, sender := l.node.sim, l.node
 	sim.count(counterMessages)
@@ -145,16 +146,16 @@
 	})
 }
 
-// perform performs the member's actions. The balancer hears of answered requests after the others, because its actions
-// may call the member again.
+// perform executes the member's actions. Answered requests are passed to the balancer last, because the balancer's
+// actions may call the member again.
 func (l *leases) perform(actions []budget.Action) {
 	sim, n := l.node.sim, l.node
 	var answered []balance.ServerID
 	for _, a := range slices.Clone(actions) {
 		switch a := a.(type) {
 		case budget.ScheduleTick:
-			if at := sim.now + a.After; l.wakeAt <= sim.now || at < l.wakeAt {
-				l.wakeAt = at
+			if at := sim.now + a.After; l.nextTickAt <= sim.now || at < l.nextTickAt {
+				l.nextTickAt = at
 				n.schedule(a.After, l.tick)
 			}
 		case budget.SendRequest:
--- a/lab/fleet/node.go
+++ b/lab/fleet/node.go
@@ -8,27 +8,27 @@
 	"brassmux/balance"
 )
 
-// className is the only class of requests.
+// className is the class of all requests.
 const className = "c"
 
-// node is a balancer with its surroundings: clock, requests, watch of the endpoint list and leases.
+// node is a simulated node: a balancer with the requests, the endpoint watch and the leases that it acts on.
 type node struct {
 	sim           *simulation
 	index         int
 	balancer      Balancer
-	incarnation   int // counts starts
+	incarnation   int // number of starts so far
 	alive         bool
-	leaving       bool // shutting down: it takes no new clients
+	leaving       bool // shutting down, and accepting no new clients
 	watching      bool
-	changesSeen   int     // of simulation.endpointChanges
+	changesSeen   int     // number of simulation.endpointChanges delivered to the node
 	leases        *leases // nil with fixed quotas
-	messagesSent  int     // to other nodes
+	messagesSent  int     // lease messages to other nodes
 	removalSeenAt map[balance.ServerID]time.Duration
 	requests      map[balance.RequestID]*request
 	lastRequest   balance.RequestID
 }
 
-// start begins a new incarnation with the endpoint list of the scenario's start.
+// start begins a new incarnation, which loads the initial endpoint list as its cached list.
 func (n *node) start() {
 	sim := n.sim
 	n.incarnation++
@@ -74,17 +74,17 @@
 	}
 }
 
-// handle passes an event to the balancer and performs its actions.
-func (n *node) handle(ev balance.Event) {
-	for _, a := range slices.Clone(n.balancer.Handle(n.sim.now, ev)) {
+// handle passes an event to the balancer and executes the resulting actions.
+func (n *node) handle(event balance.Event) {
+	for _, a := range slices.Clone(n.balancer.Handle(n.sim.now, event)) {
 		n.perform(a)
 	}
 	if n.leases != nil {
-		n.leases.afterEvent(ev)
+		n.leases.afterEvent(event)
 	}
 }
 
-// schedule runs a function after a delay unless the node's incarnation has ended by then.
+// schedule runs a function after a delay, unless the node's incarnation has ended by then.
 func (n *node) schedule(delay time.Duration, run func()) {
 	incarnation := n.incarnation
 	n.sim.schedule(delay, func() {
@@ -121,7 +121,7 @@
 	}
 }
 
-// finishRequest records the final answer to a request that was not accepted.
+// finishRequest records that a request was rejected or failed, which is its final answer.
 func (n *node) finishRequest(id balance.RequestID) {
 	r := n.requests[id]
 	if r == nil || r.answered {
--- a/lab/fleet/result.go
+++ b/lab/fleet/result.go
@@ -5,33 +5,34 @@
 	"time"
 )
 
-// Result is what a run has counted.
+// Result holds the measurements of a run.
 type Result struct {
 	Scenario string `json:"scenario"`
 	Seed     uint64 `json:"seed"`
-	// Served is the fraction of the wanted connection time in which the server was within its capacity.
+	// Served is the fraction of the time for which clients wanted a connection in which they were connected to a server
+	// within its capacity.
 	Served float64 `json:"served"`
-	// WorstWindow is Served over the worst 5 s.
+	// WorstWindow is the lowest value of Served over any 5 s.
 	WorstWindow float64    `json:"worst_5s"`
 	Violations  Violations `json:"broken"`
-	// SlowStartUtilization is the maximum, over all windows in which most sends came from notified nodes, of the
-	// connections sent to a server in slow start over the limit.
+	// SlowStartUtilization is the maximum ratio of the attempts at a server in slow start to their limit, over all
+	// overload windows in which at least two thirds of the attempts came from nodes notified of the server's start.
 	SlowStartUtilization float64 `json:"cold_used"`
-	// Totals holds each counter over the whole run and all nodes.
+	// Totals holds each counter's total over the run and all nodes.
 	Totals map[string]int `json:"totals"`
-	// Seconds holds each counter by second.
+	// CountsPerSecond holds each counter's increments by second of the run.
 	CountsPerSecond map[string][]int `json:"seconds"`
-	// MaxPerServer holds each counter's maximum at one server in one second.
+	// MaxPerServer holds the maximum increments of a counter at a single server within one second.
 	MaxPerServer map[string]int `json:"one_host_1s"`
-	// Utilization is, by second, the load of all servers over their capacity.
+	// Utilization holds, by second, the ratio of the load of all servers to their capacity.
 	Utilization []float64 `json:"used"`
-	// Imbalance is, by second, the utilization of the busiest server over the mean.
+	// Imbalance holds, by second, the ratio of the highest utilization of a server to the mean.
 	Imbalance []float64 `json:"spread"`
 	// History describes the first violations.
 	History []string `json:"history"`
 }
 
-// Violations counts violated invariants.
+// Violations counts the violations of each invariant.
 type Violations struct {
 	// Unanswered counts requests without a final answer before their deadline, and answers after the final one.
 	Unanswered int `json:"unanswered"`
@@ -39,27 +40,28 @@
 	Duplicates int `json:"twice"`
 	// LateSends counts attempts at a draining or removed server after the grace period.
 	LateSends int `json:"late_sends"`
-	// Overloads counts servers overloaded in slow start, mostly by nodes that were notified of their start.
+	// Overloads counts servers that were overloaded in slow start, with at least two thirds of the attempts coming from
+	// nodes notified of their start.
 	Overloads int `json:"fallen_colds"`
 }
 
 // Any reports whether an invariant was violated.
 func (v Violations) Any() bool { return v != Violations{} }
 
-// String returns the counts under the names that the commands print.
+// String returns the form in which the commands print the counts, which differs from the names of the fields.
 func (v Violations) String() string {
 	return fmt.Sprintf("{Unanswered:%d Twice:%d Late:%d Fallen:%d}",
 		v.Unanswered, v.Duplicates, v.LateSends, v.Overloads)
 }
 
-// serverSecond identifies a counter of one server in one second.
+// serverSecond identifies a counter of one server in one second of the run.
 type serverSecond struct {
 	counter string
 	server  *server
 	second  int
 }
 
-// second returns the number of whole seconds since the start.
+// second returns the number of full seconds since the start of the run.
 func (sim *simulation) second() int { return int((sim.now - startTime) / time.Second) }
 
 // count increments a counter.
@@ -82,7 +84,7 @@
 	sim.result.MaxPerServer[counter] = max(sim.result.MaxPerServer[counter], sim.serverCounts[key])
 }
 
-// recordViolation increments the count of an invariant and describes the violation in the history while there is room.
+// recordViolation increments the count of an invariant and adds a description to the history, up to maxHistory entries.
 func (sim *simulation) recordViolation(count *int, format string, args ...any) {
 	*count++
 	if len(sim.result.History) < maxHistory {
--- a/lab/fleet/sampling.go
+++ b/lab/fleet/sampling.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	sampleInterval = 100 * time.Millisecond // of the service that clients get
-	worstWindow    = 5 * time.Second        // of Result.WorstWindow
+	sampleInterval = 100 * time.Millisecond // between samples of the clients' service
+	worstWindow    = 5 * time.Second        // length of the window of Result.WorstWindow
 )
 
-// sampleService samples which clients are served within their server's capacity.
+// sampleService counts the clients that want a connection, and those connected to a server within its capacity.
 func (sim *simulation) sampleService() {
-	index := int((sim.now-startTime)/sampleInterval) - 1
+	sampleIndex := int((sim.now-startTime)/sampleInterval) - 1
 	sim.clients = slices.DeleteFunc(sim.clients, func(c *client) bool { return c.wantedUntil < sim.now })
 	for _, c := range sim.clients {
-		sim.wantedSamples[index]++
+		sim.wantedSamples[sampleIndex]++
 		if c.connection != nil && c.connection.server.isServing() && sim.utilization(c.connection.server) <= 1 {
-			sim.servedSamples[index]++
+			sim.servedSamples[sampleIndex]++
 		}
 	}
-	if index%int(time.Second/sampleInterval) == 0 {
+	if sampleIndex%int(time.Second/sampleInterval) == 0 {
 		sim.sampleUtilization()
 	}
 	if !sim.ended() {
@@ -28,23 +28,23 @@
 	}
 }
 
-// sampleUtilization samples the utilization of the serving servers and its imbalance.
+// sampleUtilization records the utilization of the serving servers and its imbalance.
 func (sim *simulation) sampleUtilization() {
-	var load, capacity, total, busiest float64
-	serving := 0
+	var load, capacity, totalUtilization, maxUtilization float64
+	servingCount := 0
 	for _, s := range sim.servers {
 		if s.isServing() {
 			utilization := sim.utilization(s)
 			load += utilization * sim.capacity(s)
 			capacity += sim.capacity(s)
-			total += utilization
-			busiest = max(busiest, utilization)
-			serving++
+			totalUtilization += utilization
+			maxUtilization = max(maxUtilization, utilization)
+			servingCount++
 		}
 	}
 	utilization, imbalance := 0.0, 0.0
-	if capacity > 0 && total > 0 {
-		utilization, imbalance = load/capacity, busiest*float64(serving)/total
+	if capacity > 0 && totalUtilization > 0 {
+		utilization, imbalance = load/capacity, maxUtilization*float64(servingCount)/totalUtilization
 	}
 	sim.result.Utilization = append(sim.result.Utilization, utilization)
 	sim.result.Imbalance = append(sim.result.Imbalance, imbalance)
@@ -59,19 +59,19 @@
 			totals[counterBusiestNodeMessages] = max(totals[counterBusiestNodeMessages], n.messagesSent)
 		}
 	}
-	samples := min(int(time.Duration(sim.scenario.Length)/sampleInterval), len(sim.servedSamples))
-	served, wanted := sum(sim.servedSamples[:samples]), sum(sim.wantedSamples[:samples])
+	sampleCount := min(int(time.Duration(sim.scenario.Length)/sampleInterval), len(sim.servedSamples))
+	served, wanted := sum(sim.servedSamples[:sampleCount]), sum(sim.wantedSamples[:sampleCount])
 	if wanted > 0 {
-		sim.result.Served, sim.result.WorstWindow = served/wanted, sim.worstWindow(samples)
+		sim.result.Served, sim.result.WorstWindow = served/wanted, sim.worstWindow(sampleCount)
 	}
 	return sim.result
 }
 
-// worstWindow returns the lowest served fraction of all windows among the first samples.
-func (sim *simulation) worstWindow(samples int) float64 {
+// worstWindow returns the lowest served fraction of any window within the first sampleCount samples.
+func (sim *simulation) worstWindow(sampleCount int) float64 {
 	const window = int(worstWindow / sampleInterval)
 	worst := 1.0
-	for end := window; end <= samples; end++ {
+	for end := window; end <= sampleCount; end++ {
 		if wanted := sum(sim.wantedSamples[end-window : end]); wanted > 0 {
 			worst = min(worst, sum(sim.servedSamples[end-window:end])/wanted)
 		}
@@ -80,8 +80,8 @@
 }
 
 func sum(values []float64) (total float64) {
-	for _, v := range values {
-		total += v
+	for _, value := range values {
+		total += value
 	}
 	return total
 }
--- a/lab/fleet/scenario.go
+++ b/lab/fleet/scenario.go
@@ -1,8 +1,8 @@
-// Package fleet simulates many nodes and servers in virtual time. The nodes decide with balance, without sockets, and
-// the simulation counts across the fleet what one node cannot see: the service that clients get, the load of the
-// servers and violated invariants. It owns the scenarios, the simulated clients, servers and discovery, and the
-// comparison of results; runs on sockets and real processes are left to other packages of the laboratory. The same
-// scenario and seed give the same result to the byte.
+// Package fleet simulates many nodes and servers in virtual time. The nodes make their decisions with package balance
+// and use no sockets. The simulation measures what a single node cannot observe: the service that clients receive, the
+// load of the servers and violations of invariants. The package contains the scenarios, the simulated clients, servers
+// and discovery, and the comparison of results; other packages of lab run nodes on sockets and as processes. The same
+// scenario and seed produce the same result byte for byte.
 package fleet
 
 import (
@@ -11,10 +11,10 @@
 	"brassmux/lab/scenario"
 )
 
-// Duration is written in a scenario as in "1.5s".
+// Duration is a duration in a scenario, written in the form "1.5s".
 type Duration = scenario.Duration
 
-// Scenario describes a run: its fleet, its clients and the faults that are injected.
+// Scenario describes a run: the fleet, the clients and the faults to inject.
 type Scenario struct {
 	Name        string    `toml:"name"`
 	Description string    `toml:"about"`
@@ -28,42 +28,42 @@
 	Faults      []Fault   `toml:"events"`
 }
 
-// Clients describes the clients.
+// Clients describes the number and the behavior of the clients.
 type Clients struct {
-	Initial           int         `toml:"standing"`   // connect at the start
-	ArrivalsPerSecond float64     `toml:"per_second"` // new clients
-	MeanDuration      Duration    `toml:"life"`       // of a connection
+	Initial           int         `toml:"standing"`   // clients that connect at the start
+	ArrivalsPerSecond float64     `toml:"per_second"` // mean rate of new clients
+	MeanDuration      Duration    `toml:"life"`       // for which a client wants a connection
 	Deadline          Duration    `toml:"deadline"`   // for an answer
 	ReconnectDelay    [2]Duration `toml:"rejoin"`     // bounds of the delay after a rejection or a lost connection
-	Groups            int         `toml:"groups"`     // of clients that share work; the first is the largest
+	Groups            int         `toml:"groups"`     // number of groups that share work; the first is the largest
 }
 
-// Server describes each server.
+// Server describes the servers, which are all alike.
 type Server struct {
-	Capacity             float64  `toml:"holds"`      // connections of mean load
+	Capacity             float64  `toml:"holds"`      // number of connections of mean load
 	GroupCost            float64  `toml:"group_cost"` // load of each group with a connection, in mean connections
-	AcceptDelay          Duration `toml:"set_up"`     // until a connection is accepted
+	AcceptDelay          Duration `toml:"set_up"`     // from the arrival of an attempt until it is accepted
 	ReportInterval       Duration `toml:"report"`     // between measurements of the load
-	ReportDelay          Duration `toml:"late"`       // until a health check reads a measurement
+	ReportDelay          Duration `toml:"late"`       // from a measurement until health checks return it
 	SlowStartMinCapacity float64  `toml:"cold_from"`  // fraction of the capacity at the start
-	SlowStartWindow      Duration `toml:"cold_for"`   // until the full capacity
+	SlowStartWindow      Duration `toml:"cold_for"`   // from the start until the full capacity is available
 	OverloadFactor       float64  `toml:"fall_multiple"`
-	OverloadWindow       Duration `toml:"fall_window"` // in which attempts are held to the overload factor
-	DrainGrace           Duration `toml:"grace"`       // for attempts after a node learns that the server drains
+	OverloadWindow       Duration `toml:"fall_window"` // over which attempts are counted against the overload factor
+	DrainGrace           Duration `toml:"grace"`       // for attempts after the notification of a drain
 }
 
-// Discovery describes the endpoint service, which serves the calls of all nodes one after another.
+// Discovery describes the endpoint service, which processes the calls of all nodes one at a time.
 type Discovery struct {
-	CallsPerSecond   float64  `toml:"per_second"` // calls served
-	CallTimeout      Duration `toml:"patience"`   // a call that waits for longer fails but is served all the same
-	QueueLimit       int      `toml:"places"`     // calls that may wait
-	PropagationDelay Duration `toml:"lag"`        // until a change of a server is known
+	CallsPerSecond   float64  `toml:"per_second"` // processing rate
+	CallTimeout      Duration `toml:"patience"`   // calls that wait longer fail but are still processed
+	QueueLimit       int      `toml:"places"`     // maximum number of waiting calls
+	PropagationDelay Duration `toml:"lag"`        // from a server's change until it is published
 }
 
-// Quotas describes how the nodes divide the limits of servers in slow start.
+// Quotas describes how the nodes divide the attempt limits of servers in slow start.
 type Quotas struct {
-	Leased             bool     `toml:"lease"` // from one another; otherwise each node has a fixed quota
-	GuaranteedFraction float64  `toml:"floor"` // of a limit that is divided into fixed quotas
+	Leased             bool     `toml:"lease"` // nodes lease quotas from each other; otherwise quotas are fixed
+	GuaranteedFraction float64  `toml:"floor"` // fraction of a limit that is divided into fixed quotas
 	LeaseTerm          Duration `toml:"term"`
 	HeartbeatInterval  Duration `toml:"beat"`
 }
@@ -73,26 +73,26 @@
 	At       Duration `toml:"at"`
 	Kind     string   `toml:"do"`
 	Fraction float64  `toml:"part"` // of the nodes, servers or clients
-	// Duration is how long the fault lasts; with replace_servers how long an old server drains, with restart_nodes how
-	// long a node shuts down.
+	// Duration is the length of the fault. It is the drain time of an old server with replace_servers, and the shutdown
+	// time of a node with restart_nodes.
 	Duration         Duration `toml:"for"`
-	Stagger          Duration `toml:"over"`   // the time over which the targets are hit one after another
-	CapacityFraction float64  `toml:"factor"` // slow_servers: fraction of the capacity that is left
+	Stagger          Duration `toml:"over"`   // period over which the targets are affected one after another
+	CapacityFraction float64  `toml:"factor"` // slow_servers: remaining fraction of the capacity
 }
 
 //go:embed scenarios/*.toml
 var embedded embed.FS
 
-// EmbeddedNames returns the names of the scenarios that are part of the program.
+// EmbeddedNames returns the names of the scenarios that are embedded in the program.
 func EmbeddedNames() []string { return scenario.EmbeddedNames(embedded) }
 
-// Load reads an embedded scenario by its name, or a file by its path, and checks it.
+// Load reads an embedded scenario by its name, or a scenario file by its path, and validates it.
 func Load(name string) (*Scenario, error) {
 	s := &Scenario{}
 	return s, scenario.Load(embedded, name, s)
 }
 
-// Parse reads a scenario and checks it. An error names the line or key.
+// Parse decodes a scenario and validates it. Errors name the line or the key.
 func Parse(data []byte) (*Scenario, error) {
 	s := &Scenario{}
 	return s, scenario.Parse(data, s)
--- a/lab/fleet/scenario_test.go
+++ b/lab/fleet/scenario_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-func TestInvalidScenariosAreRejected(t *testing.T) {
-	good, err := embedded.ReadFile("scenarios/mass-restart.toml")
+func TestParseRejectsInvalidScenarios(t *testing.T) {
+	valid, err := embedded.ReadFile("scenarios/mass-restart.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -21,15 +21,15 @@
 		{"part = 0.7", "part = 7.0"}:                              "events[1].part",
 		{`at = "15s"`, `at = "15h"`}:                              "events[1].at",
 	} {
-		text := strings.Replace(string(good), edit[0], edit[1], 1)
-		if text == string(good) {
-			t.Fatalf("%q is not in the scenario", edit[0])
+		text := strings.Replace(string(valid), edit[0], edit[1], 1)
+		if text == string(valid) {
+			t.Fatalf("scenario does not contain %q", edit[0])
 		}
 		if _, err := Parse([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: got %v, want %q", edit[1], err, want)
 		}
 	}
 	if _, err := Load("no-such"); err == nil || !strings.Contains(err.Error(), "calm") {
-		t.Errorf("got %v", err)
+		t.Errorf("unknown name: got %v, want the known names", err)
 	}
 }
--- a/lab/fleet/server.go
+++ b/lab/fleet/server.go
@@ -8,29 +8,30 @@
 	"brassmux/balance"
 )
 
-// serverIDStep keeps IDs from revealing the order of the servers to a balancer.
+// serverIDStep is the difference between consecutive server IDs. It keeps balancers from using an ID as the server's
+// position in the list.
 const serverIDStep = 7919
 
 // server is a simulated server.
 type server struct {
 	endpoint            balance.Server
-	unreachable         bool // it answers nothing
-	overloaded          bool // it has crashed under its load
-	capacityFraction    float64
+	unreachable         bool    // sends no responses
+	overloaded          bool    // crashed because of too many attempts in slow start
+	capacityFraction    float64 // remaining fraction of the capacity; 1 unless slowed by a fault
 	connections         map[*request]bool
-	groups              map[string]int // connections by group
+	groups              map[string]int // number of connections by group
 	load                float64        // in mean connections
-	reportedUtilization float64        // that health checks read
+	reportedUtilization float64        // returned by health checks
 	slowStartSends      []slowStartSend
 }
 
-// slowStartSend is an attempt at a server in slow start.
+// slowStartSend records an attempt at a server in slow start.
 type slowStartSend struct {
 	at       time.Duration
-	notified bool // its node had been notified of the server's start
+	notified bool // whether the sending node had been notified of the server's start
 }
 
-// newEndpoint returns the endpoint of the server with an index; a start at 0 means long ago.
+// newEndpoint returns the endpoint of the server at an index. startedAt is 0 for a server that started long ago.
 func newEndpoint(index int, startedAt time.Duration) balance.Server {
 	return balance.Server{ID: balance.ServerID(index+1) * serverIDStep, State: balance.Ready, Weight: 1,
 		StartedAt: startedAt}
@@ -43,7 +44,7 @@
 	return s
 }
 
-// serverByID returns the server of an ID from an endpoint list.
+// serverByID returns the server with an ID, which must be one of an endpoint list.
 func (sim *simulation) serverByID(id balance.ServerID) *server { return sim.servers[id/serverIDStep-1] }
 
 // isServing reports whether the server accepts and keeps connections.
@@ -51,27 +52,27 @@
 	return s.endpoint.State != balance.Removed && !s.unreachable && !s.overloaded
 }
 
-// capacity returns a server's capacity now, in mean connections.
+// capacity returns a server's current capacity in mean connections.
 func (sim *simulation) capacity(s *server) float64 {
 	return sim.scenario.Server.Capacity * s.capacityFraction * sim.slowStartFraction(s)
 }
 
-// slowStartFraction returns the fraction of its capacity that a server has by its age.
+// slowStartFraction returns the fraction of a server's capacity that is available at its current age.
 func (sim *simulation) slowStartFraction(s *server) float64 {
 	if s.endpoint.StartedAt == 0 {
 		return 1
 	}
-	from := sim.scenario.Server.SlowStartMinCapacity
+	minFraction := sim.scenario.Server.SlowStartMinCapacity
 	age := float64(sim.now-s.endpoint.StartedAt) / float64(sim.scenario.Server.SlowStartWindow)
-	return from + (1-from)*min(max(age, 0), 1)
+	return minFraction + (1-minFraction)*min(max(age, 0), 1)
 }
 
-// utilization returns a server's load over its capacity.
+// utilization returns the ratio of a server's load to its capacity.
 func (sim *simulation) utilization(s *server) float64 {
 	return (s.load + sim.scenario.Server.GroupCost*float64(len(s.groups))) / sim.capacity(s)
 }
 
-// reportLoads makes each server's utilization readable by health checks after the report delay.
+// reportLoads measures each server's utilization, and makes it available to health checks after the report delay.
 func (sim *simulation) reportLoads() {
 	for _, s := range sim.servers {
 		utilization := sim.utilization(s)
@@ -82,7 +83,7 @@
 	}
 }
 
-// checkHealth answers a node's health check.
+// checkHealth performs a node's health check of a server and delivers the result.
 func (sim *simulation) checkHealth(n *node, id balance.ServerID) {
 	s := sim.serverByID(id)
 	sim.countAtServer(counterHealthChecks, s)
@@ -103,14 +104,14 @@
 	n.schedule(result.Elapsed, func() { n.handle(result) })
 }
 
-// resetConnections resets all connections of a server, in the order of their starts.
+// resetConnections resets all connections of a server in a fixed order.
 func (sim *simulation) resetConnections(s *server) {
 	for _, r := range s.sortedConnections() {
 		sim.endConnection(r, balance.Reset, false)
 	}
 }
 
-// sortedConnections returns a server's connections by node, incarnation and request.
+// sortedConnections returns a server's connections, ordered by node, incarnation and request ID.
 func (s *server) sortedConnections() (connections []*request) {
 	for r := range s.connections {
 		connections = append(connections, r)
--- a/lab/fleet/simulation.go
+++ b/lab/fleet/simulation.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	// startTime is the virtual time of the start. It is not 0 because a server's start at 0 means "long ago".
+	// startTime is the virtual time at which a run starts. It is not 0, because a server start at 0 means "long ago".
 	startTime      = time.Hour
 	networkDelay   = 500 * time.Microsecond // one way
-	silenceTimeout = 300 * time.Millisecond // of a health check or connection attempt without any answer
-	maxHistory     = 20                     // violations that are described
+	silenceTimeout = 300 * time.Millisecond // of a health check or attempt that receives no response
+	maxHistory     = 20                     // maximum number of violations that are described
 )
 
-// Balancer makes the decisions of a node: balance.Balancer, or a faulty variant in a test.
+// Balancer makes the decisions of a node. It is implemented by balance.Balancer, and by faulty variants in tests.
 type Balancer interface {
-	// Handle returns the actions that follow an event. The slice is valid until the next call.
-	Handle(now time.Duration, ev balance.Event) []balance.Action
+	// Handle returns the actions in response to an event. The slice is valid until the next call.
+	Handle(now time.Duration, event balance.Event) []balance.Action
 }
 
-// NewBalancer returns the balancer of this module.
+// NewBalancer returns a balance.Balancer.
 func NewBalancer(config balance.Config, seed uint64) Balancer { return balance.New(config, seed) }
 
-// simulation is the state of one run. It is used by one goroutine.
+// simulation is the state of one run. It is not safe for concurrent use.
 type simulation struct {
 	scenario     *Scenario
 	newBalancer  func(balance.Config, uint64) Balancer
@@ -33,38 +33,38 @@
 	queue        eventQueue
 	lastSequence int
 	nodes        []*node
-	servers      []*server // all that ever started, in the order of their IDs
+	servers      []*server // all servers started so far, in the order of their IDs
 	clients      []*client
 
-	endpointChanges    []balance.Server // that discovery knows, oldest first
+	endpointChanges    []balance.Server // published by discovery, oldest first
 	discoveryBusyUntil time.Duration
 	discoveryDownUntil time.Duration
 
 	result        *Result
-	servedSamples []float64 // clients served within capacity, by sample interval
-	wantedSamples []float64 // clients that want a connection, by sample interval
+	servedSamples []float64 // clients connected to a server within its capacity, by sample
+	wantedSamples []float64 // clients that want a connection, by sample
 	serverCounts  map[serverSecond]int
 }
 
-// Run simulates a scenario with a seed. newBalancer is called at each start of a node.
-func Run(s *Scenario, seed uint64, newBalancer func(balance.Config, uint64) Balancer) *Result {
-	sim := newSimulation(s, seed, newBalancer)
+// Run simulates a scenario with a random seed. newBalancer is called each time a node starts.
+func Run(scenario *Scenario, seed uint64, newBalancer func(balance.Config, uint64) Balancer) *Result {
+	sim := newSimulation(scenario, seed, newBalancer)
 	sim.start()
-	sim.runUntil(startTime + time.Duration(s.Length) + time.Duration(s.Clients.Deadline) + time.Second)
+	sim.runUntil(startTime + time.Duration(scenario.Length) + time.Duration(scenario.Clients.Deadline) + time.Second)
 	return sim.summarize()
 }
 
-func newSimulation(s *Scenario, seed uint64, newBalancer func(balance.Config, uint64) Balancer) *simulation {
-	const marginSeconds = 10 // samples after the end of the scenario
-	samples := (int(time.Duration(s.Length)/time.Second) + marginSeconds) * int(time.Second/sampleInterval)
+func newSimulation(scenario *Scenario, seed uint64, newBalancer func(balance.Config, uint64) Balancer) *simulation {
+	const marginSeconds = 10 // after the end of the scenario, for which samples are kept
+	samples := (int(time.Duration(scenario.Length)/time.Second) + marginSeconds) * int(time.Second/sampleInterval)
 	return &simulation{
-		scenario:     s,
+		scenario:     scenario,
 		newBalancer:  newBalancer,
 		random:       rand.New(rand.NewPCG(seed, 1)),
 		now:          startTime,
 		serverCounts: map[serverSecond]int{},
 		result: &Result{
-			Scenario:        s.Name,
+			Scenario:        scenario.Name,
 			Seed:            seed,
 			Totals:          map[string]int{},
 			CountsPerSecond: map[string][]int{},
@@ -76,7 +76,7 @@
 	}
 }
 
-// start starts servers and nodes, and schedules clients, faults and samples.
+// start starts the servers and nodes, and schedules the clients, faults, load reports and samples.
 func (sim *simulation) start() {
 	const initialArrivalSpan = 2 * time.Second
 	for range sim.scenario.Servers {
@@ -100,15 +100,15 @@
 	sim.schedule(sampleInterval, sim.sampleService)
 }
 
-// ended reports whether the scenario's length has passed.
+// ended reports whether the scenario has reached its length.
 func (sim *simulation) ended() bool { return sim.now > startTime+time.Duration(sim.scenario.Length) }
 
-// uniform draws a duration between two bounds.
+// uniform draws a uniformly distributed duration from low to high.
 func (sim *simulation) uniform(low, high time.Duration) time.Duration {
 	return low + time.Duration(sim.random.Float64()*float64(high-low))
 }
 
-// sample draws a fraction of the indices below count, in random order.
+// sample returns a random fraction of the indices below count, in random order.
 func (sim *simulation) sample(count int, fraction float64) []int {
 	return sim.random.Perm(count)[:int(float64(count)*fraction+0.5)]
 }
--- a/lab/fleet/slowstart.go
+++ b/lab/fleet/slowstart.go
@@ -8,9 +8,9 @@
 	"brassmux/lab/checker"
 )
 
-// recordSlowStartSend counts an attempt at a server in slow start, which crashes when more than the limit arrive within
-// the overload window. That is a violation only if at least two thirds came from nodes that had been notified of the
-// server's start; the others cannot know better.
+// recordSlowStartSend counts an attempt at a server in slow start. The server crashes if more attempts than its limit
+// arrive within the overload window. The crash is a violation only if at least two thirds of the attempts came from
+// nodes that had been notified of the server's start, because other nodes cannot take the slow start into account.
 func (sim *simulation) recordSlowStartSend(s *server, n *node) {
 	if s.endpoint.StartedAt == 0 || sim.slowStartFraction(s) >= 1 {
 		return
@@ -23,23 +23,23 @@
 		return
 	}
 	limit := sim.slowStartLimit(s)
-	sends, notified := len(s.slowStartSends), 0
-	for _, x := range s.slowStartSends {
-		if x.notified {
-			notified++
+	sendCount, notifiedCount := len(s.slowStartSends), 0
+	for _, send := range s.slowStartSends {
+		if send.notified {
+			notifiedCount++
 		}
 	}
-	isMostlyNotified := 3*notified >= 2*sends
-	if isMostlyNotified {
-		sim.result.SlowStartUtilization = max(sim.result.SlowStartUtilization, float64(sends)/limit)
+	mostlyNotified := 3*notifiedCount >= 2*sendCount
+	if mostlyNotified {
+		sim.result.SlowStartUtilization = max(sim.result.SlowStartUtilization, float64(sendCount)/limit)
 	}
-	if float64(sends) <= limit {
+	if float64(sendCount) <= limit {
 		return
 	}
-	if isMostlyNotified {
+	if mostlyNotified {
 		sim.recordViolation(&sim.result.Violations.Overloads,
-			"server %d: %d sent in its window, %d by nodes that knew of its start, %.1f may come",
-			s.endpoint.ID, sends, notified, limit)
+			"server %d: %d attempts in the overload window, %d by nodes notified of its start, limit %.1f",
+			s.endpoint.ID, sendCount, notifiedCount, limit)
 	} else {
 		sim.count(counterUnannouncedOverloads)
 	}
@@ -47,7 +47,8 @@
 	s.overloaded = true
 }
 
-// slowStartLimit returns the number of attempts that a server in slow start withstands within the overload window.
+// slowStartLimit returns the maximum number of attempts that a server in slow start survives within the overload
+// window.
 func (sim *simulation) slowStartLimit(s *server) float64 {
 	settings := sim.scenario.Server
 	perSecond := settings.OverloadFactor * sim.slowStartFraction(s) * settings.Capacity /
@@ -55,9 +56,9 @@
 	return checker.MaxSlowStartSends(perSecond * time.Duration(settings.OverloadWindow).Seconds())
 }
 
-// isNotifiedOfStart reports whether a node has received the change that announced a server's start.
+// isNotifiedOfStart reports whether a node has received the endpoint change with a server's latest start.
 func (sim *simulation) isNotifiedOfStart(n *node, s *server) bool {
-	return slices.ContainsFunc(sim.endpointChanges[:n.changesSeen], func(e balance.Server) bool {
-		return e.ID == s.endpoint.ID && e.StartedAt == s.endpoint.StartedAt
+	return slices.ContainsFunc(sim.endpointChanges[:n.changesSeen], func(endpoint balance.Server) bool {
+		return endpoint.ID == s.endpoint.ID && endpoint.StartedAt == s.endpoint.StartedAt
 	})
 }
--- a/lab/fleet/violations_test.go
+++ b/lab/fleet/violations_test.go
@@ -8,81 +8,81 @@
 	"brassmux/balance"
 )
 
-// actionFault changes the actions that follow an event.
-type actionFault func(ev balance.Event, actions []balance.Action) []balance.Action
+// actionFault modifies a balancer's actions in response to an event.
+type actionFault func(event balance.Event, actions []balance.Action) []balance.Action
 
-// faultyBalancer applies a fault to the actions of a balancer.
+// faultyBalancer is a Balancer whose actions are modified by a fault.
 type faultyBalancer struct {
 	Balancer
 	fault actionFault
 }
 
-func (f faultyBalancer) Handle(now time.Duration, ev balance.Event) []balance.Action {
-	return f.fault(ev, f.Balancer.Handle(now, ev))
+func (f faultyBalancer) Handle(now time.Duration, event balance.Event) []balance.Action {
+	return f.fault(event, f.Balancer.Handle(now, event))
 }
 
-// replaceEach replaces each action.
-func replaceEach(replacement func(balance.Action) []balance.Action) actionFault {
+// replaceEach returns a fault that replaces each action.
+func replaceEach(replace func(balance.Action) []balance.Action) actionFault {
 	return func(_ balance.Event, actions []balance.Action) (replaced []balance.Action) {
-		for _, a := range actions {
-			replaced = append(replaced, replacement(a)...)
+		for _, action := range actions {
+			replaced = append(replaced, replace(action)...)
 		}
 		return replaced
 	}
 }
 
-// redirectTo sends all attempts to one server, once a list has named one; choose returns the one to use after each
-// entry of a list.
-func redirectTo(choose func(current, entry balance.Server) balance.Server) actionFault {
+// redirectTo returns a fault that sends all attempts to one server. chooseTarget is called for each entry of each
+// endpoint update, and returns the server to use from then on; attempts are unchanged until it has returned a server.
+func redirectTo(chooseTarget func(current, entry balance.Server) balance.Server) actionFault {
 	var target balance.Server
-	redirect := replaceEach(func(a balance.Action) []balance.Action {
-		if attempt, ok := a.(balance.Attempt); ok && target.ID != 0 {
+	redirect := replaceEach(func(action balance.Action) []balance.Action {
+		if attempt, ok := action.(balance.Attempt); ok && target.ID != 0 {
 			attempt.Server = target.ID
 			return []balance.Action{attempt}
 		}
-		return []balance.Action{a}
+		return []balance.Action{action}
 	})
-	return func(ev balance.Event, actions []balance.Action) []balance.Action {
-		if list, ok := ev.(balance.EndpointUpdate); ok {
-			for _, s := range list.Servers {
-				target = choose(target, s)
+	return func(event balance.Event, actions []balance.Action) []balance.Action {
+		if update, ok := event.(balance.EndpointUpdate); ok {
+			for _, entry := range update.Servers {
+				target = chooseTarget(target, entry)
 			}
 		}
-		return redirect(ev, actions)
+		return redirect(event, actions)
 	}
 }
 
-// violationCases has, for each invariant, a fault that violates it.
+// violationCases holds faults that violate each invariant.
 var violationCases = map[string]struct {
 	scenario   string
 	newFault   func() actionFault
 	violations func(Violations) int
 }{
-	"withholds rejections": {"many-replaced", func() actionFault {
-		return replaceEach(func(a balance.Action) []balance.Action {
-			if _, isReject := a.(balance.Reject); isReject {
+	"omits rejections": {"many-replaced", func() actionFault {
+		return replaceEach(func(action balance.Action) []balance.Action {
+			if _, isReject := action.(balance.Reject); isReject {
 				return nil
 			}
-			return []balance.Action{a}
+			return []balance.Action{action}
 		})
 	}, func(v Violations) int { return v.Unanswered }},
 	"answers twice": {"many-replaced", func() actionFault {
-		return replaceEach(func(a balance.Action) []balance.Action {
-			if r, ok := a.(balance.Reject); ok {
-				return []balance.Action{a, balance.Fail{ID: r.ID}}
+		return replaceEach(func(action balance.Action) []balance.Action {
+			if reject, ok := action.(balance.Reject); ok {
+				return []balance.Action{action, balance.Fail{ID: reject.ID}}
 			}
-			return []balance.Action{a}
+			return []balance.Action{action}
 		})
 	}, func(v Violations) int { return v.Unanswered }},
 	"sends twice": {"calm", func() actionFault {
-		return replaceEach(func(a balance.Action) []balance.Action {
-			if _, ok := a.(balance.Attempt); ok {
-				return []balance.Action{a, a}
+		return replaceEach(func(action balance.Action) []balance.Action {
+			if _, ok := action.(balance.Attempt); ok {
+				return []balance.Action{action, action}
 			}
-			return []balance.Action{a}
+			return []balance.Action{action}
 		})
 	}, func(v Violations) int { return v.Duplicates }},
-	"goes on sending to a draining server": {"rolling-deploy", func() actionFault {
+	"sends to a draining server": {"rolling-deploy", func() actionFault {
 		return redirectTo(func(current, entry balance.Server) balance.Server {
 			if entry.State != balance.Ready {
 				return entry
@@ -90,7 +90,7 @@
 			return current
 		})
 	}, func(v Violations) int { return v.LateSends }},
-	"sends all to the newest server": {"many-replaced", func() actionFault {
+	"sends all attempts to the newest server": {"many-replaced", func() actionFault {
 		return redirectTo(func(current, entry balance.Server) balance.Server {
 			if entry.State == balance.Ready && entry.StartedAt > current.StartedAt {
 				return entry
@@ -100,26 +100,27 @@
 	}, func(v Violations) int { return v.Overloads }},
 }
 
-// A node that violates an invariant is found, and without its fault none is.
-func TestEachViolationIsFound(t *testing.T) {
-	for name, c := range violationCases {
+// Guards against a simulation that misses violations: each fault must be counted, and the same run without it must have
+// no such violation.
+func TestViolationsAreDetected(t *testing.T) {
+	for name, testCase := range violationCases {
 		t.Run(name, func(t *testing.T) {
-			s := load(t, c.scenario)
-			r := Run(s, 1, func(config balance.Config, seed uint64) Balancer {
-				return faultyBalancer{NewBalancer(config, seed), c.newFault()}
+			scenario := load(t, testCase.scenario)
+			result := Run(scenario, 1, func(config balance.Config, seed uint64) Balancer {
+				return faultyBalancer{NewBalancer(config, seed), testCase.newFault()}
 			})
-			if c.violations(r.Violations) == 0 || len(r.History) == 0 {
-				t.Errorf("no violation found: %+v, %q", r.Violations, r.History)
+			if testCase.violations(result.Violations) == 0 || len(result.History) == 0 {
+				t.Errorf("no violation detected: %+v, %q", result.Violations, result.History)
 			}
-			if r := Run(s, 1, NewBalancer); c.violations(r.Violations) != 0 {
-				t.Errorf("without the fault: %+v", r.Violations)
+			if result := Run(scenario, 1, NewBalancer); testCase.violations(result.Violations) != 0 {
+				t.Errorf("without the fault: %+v", result.Violations)
 			}
 		})
 	}
 }
 
-// The commands print these bytes, whatever the fields are called.
-func TestPrintedViolations(t *testing.T) {
+// The commands print this form, which must not depend on the names of the fields.
+func TestViolationsString(t *testing.T) {
 	violations := Violations{Unanswered: 1, Duplicates: 2, LateSends: 3, Overloads: 4}
 	if got, want := fmt.Sprintf("%+v", violations), "{Unanswered:1 Twice:2 Late:3 Fallen:4}"; got != want {
 		t.Errorf("got %s, want %s", got, want)
--- a/lab/rig/rig.go
+++ b/lab/rig/rig.go
@@ -249,7 +249,8 @@
 
 func (r *rig) newServer(started time.Time) error {
 	kind := emulator.ServerConfig{
-		Capacity: r.s.Server.Holds, SlowStartMinCapacity: r.s.Server.ColdFrom, SlowStartWindow: time.Duration(r.s.Server.ColdFor),
+		Capacity: r.s.Server.Holds, SlowStartMinCapacity: r.s.Server.ColdFrom,
+		SlowStartWindow: time.Duration(r.s.Server.ColdFor),
 	}
 	r.mu.Lock()
 	r.named++ // two may start at once
--- a/lab/scale/scale.go
+++ b/lab/scale/scale.go
@@ -560,7 +560,9 @@
 	f.named++
 	id := "s-" + strconv.Itoa(f.named)
 	f.mu.Unlock()
-	config := emulator.ServerConfig{Capacity: 8 * f.n / servers, SlowStartMinCapacity: 0.2, SlowStartWindow: 6 * time.Second}
+	config := emulator.ServerConfig{
+		Capacity: 8 * f.n / servers, SlowStartMinCapacity: 0.2, SlowStartWindow: 6 * time.Second,
+	}
 	s := emulator.NewServer(id, config, started, f.clients.received)
 	var free emulator.Direction
 	if err := s.Open(func(int) (in, out *emulator.Direction) { return &free, &free }); err != nil {
