--- a/lab/emulator/datagrams.go
+++ b/lab/emulator/datagrams.go
@@ -12,139 +12,146 @@
 const (
 	maxDatagramBytes = 1 << 16
 	maxReorderDelay  = 300 * time.Millisecond
-	stallTimeout     = time.Minute // a datagram that is held back for so long is dropped
+	stallTimeout     = time.Minute // a datagram that is held back for longer is dropped
 )
 
-// DatagramNetwork carries datagrams among nodes. Each node has one address here: the others send to it, and receive the
-// node's datagrams from it. Each pair of nodes has a Direction for either way. Its methods may be called from any
-// goroutine.
+// DatagramNetwork relays datagrams between nodes. Each node has one address in the network, to which the other nodes
+// send and from which they receive the node's datagrams. Each ordered pair of nodes has a Direction. The methods are
+// safe for concurrent use.
 type DatagramNetwork struct {
-	// SharedDirection, set before any traffic, returns the Direction of a pair; nil where each pair has its own.
+	// SharedDirection returns the Direction of a pair of nodes. If it is nil, each pair has a separate Direction. It
+	// must be set before any traffic.
 	SharedDirection func(from, to int) *Direction
 
 	mu         sync.Mutex
 	rng        *rand.Rand
 	sockets    []*nodeSocket
-	nodeByAddr map[netip.AddrPort]int // by the address of the node's process
+	nodeByAddr map[netip.AddrPort]int // by the address at which the node's process listens
 	directions map[[2]int]*Direction
 	receivers  sync.WaitGroup
-	sent       map[int]traffic
+	sent       map[int]traffic // by node
 }
 
-// traffic is what a node has sent.
+// traffic counts the datagrams and bytes that a node has sent.
 type traffic struct{ datagrams, bytes int64 }
 
+// nodeSocket is a node's address in the network, with the addresses of the processes behind it.
 type nodeSocket struct {
-	conn      *net.UDPConn
-	processes []netip.AddrPort // addresses of the node's process, or of two with the same node ID
+	conn         *net.UDPConn
+	processAddrs []netip.AddrPort // of the node's process, or of two processes with the same node ID
 }
 
-// datagram is one on its way from a node to another.
+// datagram is a datagram in transit from one node to another.
 type datagram struct {
 	from, to int
 	payload  []byte
 }
 
-// randomNumbers decide what happens to a datagram: each is in [0, 1), and the delay is that of a late one.
+// randomNumbers holds the random draws for one datagram: numbers in [0, 1), which are compared with the probabilities
+// of faults, and the delay of a reordered or duplicated datagram.
 type randomNumbers struct {
 	loss, duplicate, reorder float64
 	delay                    time.Duration
 }
 
-// noFaults exceeds every probability.
+// noFaults holds draws that exceed every probability, so that no fault occurs.
 var noFaults = randomNumbers{loss: 1, duplicate: 1, reorder: 1}
 
-// NewDatagramNetwork opens an address for each of n nodes. The seed determines the random faults.
-func NewDatagramNetwork(n int, seed uint64) (*DatagramNetwork, error) {
-	w := &DatagramNetwork{
+// NewDatagramNetwork opens an address for each node. The seed determines the random faults.
+func NewDatagramNetwork(nodes int, seed uint64) (*DatagramNetwork, error) {
+	network := &DatagramNetwork{
 		rng:        rand.New(rand.NewPCG(seed, 2)),
 		nodeByAddr: map[netip.AddrPort]int{},
 		directions: map[[2]int]*Direction{},
 		sent:       map[int]traffic{},
 	}
-	for node := range n {
+	for node := range nodes {
 		conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
-			w.Close()
+			network.Close()
 			return nil, err
 		}
-		w.sockets = append(w.sockets, &nodeSocket{conn: conn})
-		w.receivers.Go(func() { w.receive(node, conn) })
+		network.sockets = append(network.sockets, &nodeSocket{conn: conn})
+		network.receivers.Go(func() { network.receive(node, conn) })
 	}
-	return w, nil
+	return network, nil
 }
 
-// Addr returns the address at which the others reach a node.
-func (w *DatagramNetwork) Addr(node int) string { return w.sockets[node].conn.LocalAddr().String() }
+// Addr returns the address at which the other nodes reach a node.
+func (network *DatagramNetwork) Addr(node int) string {
+	return network.sockets[node].conn.LocalAddr().String()
+}
 
 // Direction returns the direction from one node to another.
-func (w *DatagramNetwork) Direction(from, to int) *Direction {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.direction(from, to)
+func (network *DatagramNetwork) Direction(from, to int) *Direction {
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	return network.direction(from, to)
 }
 
-// direction is Direction with w.mu held.
-func (w *DatagramNetwork) direction(from, to int) *Direction {
-	if w.SharedDirection != nil {
-		return w.SharedDirection(from, to)
+// direction is like Direction, but requires network.mu to be held.
+func (network *DatagramNetwork) direction(from, to int) *Direction {
+	if network.SharedDirection != nil {
+		return network.SharedDirection(from, to)
 	}
 	pair := [2]int{from, to}
-	if w.directions[pair] == nil {
-		w.directions[pair] = &Direction{}
+	if network.directions[pair] == nil {
+		network.directions[pair] = &Direction{}
 	}
-	return w.directions[pair]
-}
-
-// SetNodeAddr sets the address at which a node's process listens, in place of earlier ones, or adds that of a second
-// process with the same node ID.
-func (w *DatagramNetwork) SetNodeAddr(node int, addr netip.AddrPort, second bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	s := w.sockets[node]
-	if !second {
-		for _, old := range s.processes {
-			delete(w.nodeByAddr, old)
+	return network.directions[pair]
+}
+
+// SetNodeAddr sets the address at which a node's process listens, which replaces earlier addresses. If additional is
+// true, it adds the address of another process with the same node ID instead.
+func (network *DatagramNetwork) SetNodeAddr(node int, addr netip.AddrPort, additional bool) {
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	socket := network.sockets[node]
+	if !additional {
+		for _, oldAddr := range socket.processAddrs {
+			delete(network.nodeByAddr, oldAddr)
 		}
-		s.processes = nil
+		socket.processAddrs = nil
 	}
-	s.processes, w.nodeByAddr[addr] = append(s.processes, addr), node
+	socket.processAddrs, network.nodeByAddr[addr] = append(socket.processAddrs, addr), node
 }
 
-// SentBy returns the datagrams and bytes that a node has sent.
-func (w *DatagramNetwork) SentBy(node int) (datagrams, bytes int64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	total := w.sent[node]
-	return total.datagrams, total.bytes
+// SentBy returns the numbers of datagrams and bytes that a node has sent.
+func (network *DatagramNetwork) SentBy(node int) (datagrams, bytes int64) {
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	sent := network.sent[node]
+	return sent.datagrams, sent.bytes
 }
 
-// receive forwards what arrives at a node's address, until it is closed.
-func (w *DatagramNetwork) receive(to int, conn *net.UDPConn) {
+// receive forwards the datagrams that arrive at a node's address, until the address is closed.
+func (network *DatagramNetwork) receive(to int, conn *net.UDPConn) {
 	buffer := make([]byte, maxDatagramBytes)
 	for {
-		n, addr, err := conn.ReadFromUDPAddrPort(buffer)
+		size, addr, err := conn.ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			return
 		}
-		w.mu.Lock()
-		from, known := w.nodeByAddr[addr]
-		if !known { // of a process that has been replaced
-			w.mu.Unlock()
+		network.mu.Lock()
+		from, isKnown := network.nodeByAddr[addr]
+		if !isKnown { // from a process that has been replaced
+			network.mu.Unlock()
 			continue
 		}
-		total := w.sent[from]
-		w.sent[from] = traffic{total.datagrams + 1, total.bytes + int64(n)}
-		direction := w.direction(from, to)
-		random := randomNumbers{loss: w.rng.Float64(), duplicate: w.rng.Float64(), reorder: w.rng.Float64()}
-		random.delay = time.Duration(w.rng.Float64() * float64(maxReorderDelay))
-		w.mu.Unlock()
-		w.forward(direction, datagram{from, to, slices.Clone(buffer[:n])}, random)
+		previous := network.sent[from]
+		network.sent[from] = traffic{previous.datagrams + 1, previous.bytes + int64(size)}
+		direction := network.direction(from, to)
+		random := randomNumbers{
+			loss: network.rng.Float64(), duplicate: network.rng.Float64(), reorder: network.rng.Float64(),
+		}
+		random.delay = time.Duration(network.rng.Float64() * float64(maxReorderDelay))
+		network.mu.Unlock()
+		network.forward(direction, datagram{from, to, slices.Clone(buffer[:size])}, random)
 	}
 }
 
 // forward applies the direction's mode and random faults to a datagram.
-func (w *DatagramNetwork) forward(direction *Direction, d datagram, random randomNumbers) {
+func (network *DatagramNetwork) forward(direction *Direction, d datagram, random randomNumbers) {
 	direction.mu.Lock()
 	mode, delay := direction.mode, direction.delay
 	lost, duplicated := random.loss < direction.lossProbability, random.duplicate < direction.duplicateProbability
@@ -153,7 +160,7 @@
 	switch {
 	case mode == Stall:
 		direction.Affected[Stall].Add(1)
-		w.forwardAfterStall(direction, d)
+		network.forwardAfterStall(direction, d)
 		return
 	case mode != Pass:
 		direction.Affected[mode].Add(1)
@@ -169,46 +176,47 @@
 		direction.RandomFaults.Add(1)
 		delay += random.delay
 	}
-	w.deliverAfter(delay, d)
+	network.deliverAfter(delay, d)
 	if duplicated {
 		direction.RandomFaults.Add(1)
-		w.deliverAfter(delay+random.delay, d)
+		network.deliverAfter(delay+random.delay, d)
 	}
 }
 
-// forwardAfterStall forwards a datagram, without random faults, once the direction's mode changes.
-func (w *DatagramNetwork) forwardAfterStall(direction *Direction, d datagram) {
+// forwardAfterStall forwards a datagram without random faults once the direction's mode changes. It drops the datagram
+// after stallTimeout.
+func (network *DatagramNetwork) forwardAfterStall(direction *Direction, d datagram) {
 	_, _, changed := direction.state()
 	go func() {
 		select {
 		case <-changed:
-			w.forward(direction, d, noFaults)
+			network.forward(direction, d, noFaults)
 		case <-time.After(stallTimeout):
 		}
 	}()
 }
 
-func (w *DatagramNetwork) deliverAfter(delay time.Duration, d datagram) {
+func (network *DatagramNetwork) deliverAfter(delay time.Duration, d datagram) {
 	if delay == 0 {
-		w.deliver(d)
+		network.deliver(d)
 	} else {
-		time.AfterFunc(delay, func() { w.deliver(d) })
+		time.AfterFunc(delay, func() { network.deliver(d) })
 	}
 }
 
-func (w *DatagramNetwork) deliver(d datagram) {
-	w.mu.Lock()
-	conn, processes := w.sockets[d.from].conn, slices.Clone(w.sockets[d.to].processes)
-	w.mu.Unlock()
-	for _, addr := range processes {
+func (network *DatagramNetwork) deliver(d datagram) {
+	network.mu.Lock()
+	conn, processAddrs := network.sockets[d.from].conn, slices.Clone(network.sockets[d.to].processAddrs)
+	network.mu.Unlock()
+	for _, addr := range processAddrs {
 		conn.WriteToUDPAddrPort(d.payload, addr)
 	}
 }
 
-// Close closes all addresses and waits for their receivers.
-func (w *DatagramNetwork) Close() {
-	for _, s := range w.sockets {
-		s.conn.Close()
+// Close closes all addresses and waits until their receivers have returned.
+func (network *DatagramNetwork) Close() {
+	for _, socket := range network.sockets {
+		socket.conn.Close()
 	}
-	w.receivers.Wait()
+	network.receivers.Wait()
 }
--- a/lab/emulator/link.go
+++ b/lab/emulator/link.go
@@ -1,6 +1,6 @@
-// Package emulator has stand-ins for the systems around a node: servers, the list service, and the links between them
-// and the nodes, for connections and for datagrams, each with faults that can be switched on. Which faults happen when,
-// and whether the nodes behave, is left to its callers.
+// Package emulator emulates the systems that a node communicates with: servers, the list service, and the links between
+// these systems and the nodes, for connections and datagrams. Each has faults that callers can switch on and off. The
+// package neither schedules faults nor checks the behavior of the nodes.
 package emulator
 
 import (
@@ -13,36 +13,36 @@
 	"time"
 )
 
-// Mode is what one direction of a link does with its traffic.
+// Mode determines how one direction of a link handles its traffic.
 type Mode int
 
-// The modes of a direction.
+// Modes of a direction.
 const (
-	Pass  Mode = iota // everything is delivered
-	Drop              // bytes and datagrams vanish; the connection stays
-	Stall             // bytes are held back until the mode changes, and so are datagrams, for a time
-	Reset             // connections are reset at the next bytes; datagrams vanish
-	Cut               // half of the next bytes are delivered, then the connection is reset; datagrams vanish
-	modes
+	Pass  Mode = iota // all traffic is delivered
+	Drop              // bytes and datagrams are discarded; connections stay open
+	Stall             // bytes and datagrams are held back until the mode changes; datagrams for at most stallTimeout
+	Reset             // connections are reset at the next bytes; datagrams are discarded
+	Cut               // half of the next bytes are delivered, then the connection is reset; datagrams are discarded
+	modeCount
 )
 
-// Direction is one direction of a link. The zero value passes everything. It may be shared by many connections, and its
-// methods may be called from any goroutine.
+// Direction is one direction of a link. The zero value delivers all traffic. It may be shared by many connections, and
+// its methods are safe for concurrent use.
 type Direction struct {
 	mu                   sync.Mutex
 	mode                 Mode
 	delay                time.Duration
-	lossProbability      float64 // this one and the next two apply to datagrams only
+	lossProbability      float64 // the three probabilities apply to datagrams only
 	duplicateProbability float64
 	reorderProbability   float64
-	changed              chan struct{}
+	changed              chan struct{} // closed at the next change of the mode or delay; nil without a waiter
 
-	Affected     [modes]atomic.Int64 // reads, writes or datagrams that each mode was applied to, by mode
-	RandomFaults atomic.Int64        // datagrams that were lost, duplicated or reordered
-	Delayed      atomic.Int64        // reads, writes or datagrams that were delayed
+	Affected     [modeCount]atomic.Int64 // reads, writes or datagrams affected by each mode
+	RandomFaults atomic.Int64            // datagrams that were lost, duplicated or reordered
+	Delayed      atomic.Int64            // reads, writes or datagrams that were delayed
 }
 
-// Set sets the mode from now on, and the delay of what is delivered.
+// Set sets the mode and the delay of delivered traffic.
 func (d *Direction) Set(mode Mode, delay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -60,6 +60,7 @@
 	d.lossProbability, d.duplicateProbability, d.reorderProbability = loss, duplicate, reorder
 }
 
+// state returns the mode, the delay and a channel that is closed when they change.
 func (d *Direction) state() (Mode, time.Duration, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -69,45 +70,45 @@
 	return d.mode, d.delay, d.changed
 }
 
-// errLinkBroken is what this end sees of a connection that its link reset.
-var errLinkBroken = errors.New("the link broke")
+// errLinkBroken is returned by reads and writes on a connection that a link fault has reset.
+var errLinkBroken = errors.New("connection reset by a link fault")
 
-// conn is a connection whose two directions can have faults.
+// conn is a connection with a Direction for reads and one for writes.
 type conn struct {
 	*net.TCPConn
 	in, out   *Direction
-	node      int // at the other end
+	node      int // node at the other end
 	closed    chan struct{}
-	once      sync.Once
-	arrivedAt atomic.Int64 // when bytes last arrived, before any delay; Unix time in nanoseconds
+	closeOnce sync.Once
+	arrivedAt atomic.Int64 // arrival of the last bytes, before any delay; Unix time in nanoseconds
 }
 
-// Wrap returns a connection that applies in to what is read from c, and out to what is written to it.
+// Wrap returns a connection with the mode and delay of in applied to reads from c, and those of out to writes.
 func Wrap(c *net.TCPConn, in, out *Direction) net.Conn {
 	return &conn{TCPConn: c, in: in, out: out, closed: make(chan struct{})}
 }
 
-// ArrivedAt returns when the bytes read last arrived, before the link delayed them.
+// ArrivedAt returns the time at which the last bytes arrived, before the link delayed them.
 func (c *conn) ArrivedAt() time.Time { return time.Unix(0, c.arrivedAt.Load()) }
 
 func (c *conn) Close() error {
-	c.once.Do(func() { close(c.closed) })
+	c.closeOnce.Do(func() { close(c.closed) })
 	return c.TCPConn.Close()
 }
 
-// Abort resets the connection, as the end of its process would.
+// Abort resets the connection, like the end of the process that holds it.
 func (c *conn) Abort() {
 	c.SetLinger(0)
 	c.Close()
 }
 
-// gate waits as long as the direction delays n bytes, and returns how many of them pass; a negative number means that
-// they vanish.
-func (c *conn) gate(d *Direction, n int) (int, error) {
-	for waited := false; ; {
+// applyFaults waits as long as the direction delays n bytes, and returns the number of bytes to deliver. A negative
+// number means that the bytes are discarded.
+func (c *conn) applyFaults(d *Direction, n int) (int, error) {
+	for delayApplied := false; ; {
 		mode, delay, changed := d.state()
-		if delay > 0 && !waited {
-			waited = true
+		if delay > 0 && !delayApplied {
+			delayApplied = true
 			d.Delayed.Add(1)
 			select {
 			case <-time.After(delay):
@@ -143,59 +144,59 @@
 	for {
 		n, err := c.TCPConn.Read(p)
 		if n == 0 {
-			if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) { // the end of the stream is delayed as bytes are
-				if passed, cut := c.gate(c.in, 0); cut == nil && passed < 0 {
-					<-c.closed // the end vanishes too
+			if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) { // the end of the stream is delayed like bytes
+				if passed, linkErr := c.applyFaults(c.in, 0); linkErr == nil && passed < 0 {
+					<-c.closed // the end of the stream is discarded too
 				}
 			}
 			return n, err
 		}
 		c.arrivedAt.Store(time.Now().UnixNano())
-		passed, cut := c.gate(c.in, n)
+		passed, linkErr := c.applyFaults(c.in, n)
 		switch {
 		case passed < 0:
 			continue
-		case cut != nil:
+		case linkErr != nil:
 			defer c.Abort()
-			return passed, cut
+			return passed, linkErr
 		}
 		return n, err
 	}
 }
 
 func (c *conn) Write(p []byte) (int, error) {
-	passed, cut := c.gate(c.out, len(p))
+	passed, linkErr := c.applyFaults(c.out, len(p))
 	switch {
 	case passed < 0:
 		return len(p), nil
-	case cut != nil:
+	case linkErr != nil:
 		if passed > 0 {
 			c.TCPConn.Write(p[:passed])
 		}
 		c.Abort()
-		return 0, cut
+		return 0, linkErr
 	}
 	return c.TCPConn.Write(p)
 }
 
-// SourceAddr returns the address from which a node connects, which identifies its links.
+// SourceAddr returns the address from which a node connects. It identifies the node to listeners.
 func SourceAddr(node int) netip.Addr {
 	return netip.AddrFrom4([4]byte{127, 1, byte(node / 250), byte(node%250 + 1)})
 }
 
-// nodeOf returns the node that connects from an address; -1 for none.
+// nodeOf returns the node that connects from an address, or -1 if there is none.
 func nodeOf(addr netip.AddrPort) int {
-	a := addr.Addr().Unmap().As4()
-	if a[0] != 127 || a[1] != 1 || a[3] == 0 {
+	octets := addr.Addr().Unmap().As4()
+	if octets[0] != 127 || octets[1] != 1 || octets[3] == 0 {
 		return -1
 	}
-	return int(a[2])*250 + int(a[3]) - 1
+	return int(octets[2])*250 + int(octets[3]) - 1
 }
 
-// Links returns both directions of a node's link: from the node and to it.
+// Links returns the directions of a node's link: in from the node, and out to the node.
 type Links func(node int) (in, out *Direction)
 
-// listener accepts the connections of all nodes.
+// listener accepts connections of nodes and applies the directions of their links.
 type listener struct {
 	*net.TCPListener
 	links Links
@@ -208,18 +209,18 @@
 			return nil, err
 		}
 		node := nodeOf(c.RemoteAddr().(*net.TCPAddr).AddrPort())
-		if node < 0 { // of another program
+		if node < 0 { // the peer is not a node
 			c.Close()
 			continue
 		}
 		in, out := l.links(node)
-		w := Wrap(c, in, out).(*conn)
-		w.node = node
-		return w, nil
+		wrapped := Wrap(c, in, out).(*conn)
+		wrapped.node = node
+		return wrapped, nil
 	}
 }
 
-// Listen opens a listener on a free loopback port that accepts the links of all nodes, and of no one else.
+// Listen opens a listener on a free loopback port. It accepts connections from nodes and closes all others.
 func Listen(links Links) (net.Listener, error) {
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
--- a/lab/emulator/listservice.go
+++ b/lab/emulator/listservice.go
@@ -12,40 +12,40 @@
 )
 
 const (
-	keepAliveInterval = 2 * time.Second // of empty lines on a watch without changes
+	keepAliveInterval = 2 * time.Second // interval of empty lines on a watch without changes
 	headerTimeout     = 10 * time.Second
 )
 
-// stateRemoved is the state of servers that full lists leave out.
+// stateRemoved is the state of servers that are omitted from full lists.
 const stateRemoved = "removed"
 
-// ListConfig has the capacity and the delays of the list service.
+// ListConfig configures the capacity and the delays of the list service.
 type ListConfig struct {
-	CallsPerSecond   float64       // processed one after the other; 0 means no limit
-	QueueTimeout     time.Duration // a call that waits for longer fails, but is processed; 0 means no limit
-	PropagationDelay time.Duration // from a change to the list that has it
+	CallsPerSecond   float64       // processing rate, one call at a time; 0 means no limit
+	QueueTimeout     time.Duration // calls that wait longer fail but are still processed; 0 means no limit
+	PropagationDelay time.Duration // from a change until the list contains it
 }
 
-// Endpoint is a server in the list, as the service writes it.
+// Endpoint is the entry of a server in the list.
 type Endpoint struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"addr"`
 	Zone    string  `json:"zone"`
 	State   string  `json:"state"`
 	Weight  float64 `json:"weight"`
-	Started int64   `json:"started_ms"` // Unix time in milliseconds; 0 for long ago
+	Started int64   `json:"started_ms"` // Unix time in milliseconds; 0 if the server started long ago
 
-	server *Server
+	server *Server // source of Addr; nil if Addr is set
 }
 
-// Call is a node's call of the service.
+// Call describes a node's call of the list service.
 type Call struct {
 	At, Done time.Time
 	Node     int
 	Failed   bool
 }
 
-// Notification is a list, or changes of it, written to a node.
+// Notification describes a full list or changes that the service writes to a node.
 type Notification struct {
 	At        time.Time
 	Node      int
@@ -53,24 +53,24 @@
 	Endpoints []Endpoint
 }
 
-// ListService is a stand-in for the list service, for all nodes. Its methods may be called from any goroutine; its
-// callbacks are called from those that serve its calls.
+// ListService emulates the list service for all nodes. Its methods are safe for concurrent use. The callbacks are
+// called concurrently from the goroutines that serve the calls.
 type ListService struct {
 	config         ListConfig
 	onNotification func(Notification)
 	onCall         func(Call)
 
 	mu            sync.Mutex
-	changes       []Endpoint // the change of version i+1 at index i
-	changed       chan struct{}
-	idleAt        time.Time // when all calls so far are processed
+	changes       []Endpoint    // index i holds the change of version i+1
+	changed       chan struct{} // closed and replaced when watches have to read the list again
+	idleAt        time.Time     // time at which all calls received so far will be processed
 	down          bool
 	server        *http.Server
 	addr          string
-	staleVersions map[int]int64 // by node: the version from which its instance of the service learns no changes
+	staleVersions map[int]int64 // by node: the version at which its instance of the service stopped receiving changes
 	serving       sync.WaitGroup
 
-	StaleAnswers atomic.Int64 // lists by an instance that lacked changes
+	StaleAnswers atomic.Int64 // lists read from an instance that lacked changes
 }
 
 // NewListService returns a service that accepts no connections before Open.
@@ -81,15 +81,15 @@
 	}
 }
 
-// Open opens the address at which the nodes reach the service. Close closes it.
+// Open starts listening for calls of the nodes. Close ends it.
 func (l *ListService) Open(links Links) error {
 	listener, err := Listen(links)
 	if err != nil {
 		return err
 	}
 	handler := func(w http.ResponseWriter, r *http.Request) {
-		if from, err := netip.ParseAddrPort(r.RemoteAddr); err == nil {
-			l.serve(nodeOf(from), w, r)
+		if remote, err := netip.ParseAddrPort(r.RemoteAddr); err == nil {
+			l.serve(nodeOf(remote), w, r)
 		}
 	}
 	l.server = &http.Server{ReadHeaderTimeout: headerTimeout, Handler: http.HandlerFunc(handler)}
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// OpenAddress opens one more address of a service that is open.
+// OpenAddress opens an additional address. The service must be open.
 func (l *ListService) OpenAddress(links Links) (addr string, err error) {
 	listener, err := Listen(links)
 	if err != nil {
@@ -111,43 +111,43 @@
 // Addr returns the address at which the nodes reach the service.
 func (l *ListService) Addr() string { return l.addr }
 
-// UpdateServer adds a server's state to the list, after the propagation delay.
-func (l *ListService) UpdateServer(s *Server, state string) {
+// UpdateServer publishes the state of an emulated server after the propagation delay.
+func (l *ListService) UpdateServer(server *Server, state string) {
 	started := int64(0)
-	if !s.Started.IsZero() {
-		started = s.Started.UnixMilli()
+	if !server.Started.IsZero() {
+		started = server.Started.UnixMilli()
 	}
-	l.Update(Endpoint{ID: s.ID, State: state, Weight: 1, Started: started, server: s})
+	l.Update(Endpoint{ID: server.ID, State: state, Weight: 1, Started: started, server: server})
 }
 
-// Update adds the state of a server that is not one of this package to the list, after the propagation delay.
-func (l *ListService) Update(e Endpoint) {
+// Update publishes the entry of any server after the propagation delay.
+func (l *ListService) Update(endpoint Endpoint) {
 	time.AfterFunc(l.config.PropagationDelay, func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.changes = append(l.changes, e)
+		l.changes = append(l.changes, endpoint)
 		l.wakeWatches()
 	})
 }
 
-// Snapshot returns the list as the node's instance of the service has it now.
+// Snapshot returns the list as it is now at the instance of the service that a node calls.
 func (l *ListService) Snapshot(node int) (version int64, endpoints []Endpoint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.version(node), l.since(node, 0)
+	return l.version(node), l.changesSince(node, 0)
 }
 
-// SetStale makes the instance that a node calls learn no more changes, or all that it has missed.
-func (l *ListService) SetStale(node int, on bool) {
+// SetStale sets whether the instance that a node calls receives no changes. When unset, it receives all missed changes.
+func (l *ListService) SetStale(node int, stale bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if delete(l.staleVersions, node); on {
+	if delete(l.staleVersions, node); stale {
 		l.staleVersions[node] = int64(len(l.changes))
 	}
 	l.wakeWatches()
 }
 
-// SetDown makes all watches end and all calls fail, or ends that.
+// SetDown sets whether the service is down. While it is down, watches end and calls fail.
 func (l *ListService) SetDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -155,7 +155,7 @@
 	l.wakeWatches()
 }
 
-// Close closes all addresses and connections, and waits for the service's end.
+// Close closes all addresses and connections, and waits until they are no longer served.
 func (l *ListService) Close() {
 	if l.server != nil {
 		l.server.Close()
@@ -163,39 +163,40 @@
 	l.serving.Wait()
 }
 
-// wakeWatches makes all watches look at the list. l.mu is held.
+// wakeWatches makes all watches read the list again. l.mu must be held.
 func (l *ListService) wakeWatches() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// version returns that of the instance that a node calls. l.mu is held.
+// version returns the list version at the instance that a node calls. l.mu must be held.
 func (l *ListService) version(node int) int64 {
-	if stale, ok := l.staleVersions[node]; ok {
-		return stale
+	if version, isStale := l.staleVersions[node]; isStale {
+		return version
 	}
 	return int64(len(l.changes))
 }
 
-// since returns the latest state of each server that changed after a version. l.mu is held.
-func (l *ListService) since(node int, version int64) (endpoints []Endpoint) {
+// changesSince returns the latest state of each server that changed after a version, as far as the instance that a node
+// calls has received it. l.mu must be held.
+func (l *ListService) changesSince(node int, version int64) (endpoints []Endpoint) {
 	indexes := map[string]int{}
-	now := l.version(node)
-	for _, e := range l.changes[min(max(version, 0), now):now] {
-		if e.server != nil {
-			e.Addr = e.server.Addr()
+	latest := l.version(node)
+	for _, endpoint := range l.changes[min(max(version, 0), latest):latest] {
+		if endpoint.server != nil {
+			endpoint.Addr = endpoint.server.Addr()
 		}
-		if i, ok := indexes[e.ID]; ok {
-			endpoints[i] = e
+		if i, found := indexes[endpoint.ID]; found {
+			endpoints[i] = endpoint
 		} else {
-			indexes[e.ID], endpoints = len(endpoints), append(endpoints, e)
+			indexes[endpoint.ID], endpoints = len(endpoints), append(endpoints, endpoint)
 		}
 	}
 	return endpoints
 }
 
-// waitTurn waits until a call is processed, and tells whether it is to be answered.
-func (l *ListService) waitTurn(r *http.Request) bool {
+// awaitProcessing waits until a call is processed or fails, and reports whether to answer it.
+func (l *ListService) awaitProcessing(r *http.Request) bool {
 	l.mu.Lock()
 	now := time.Now()
 	if l.idleAt.Before(now) {
@@ -206,8 +207,8 @@
 	}
 	wait, down := l.idleAt.Sub(now), l.down
 	l.mu.Unlock()
-	late := l.config.QueueTimeout > 0 && wait > l.config.QueueTimeout
-	if late {
+	timedOut := l.config.QueueTimeout > 0 && wait > l.config.QueueTimeout
+	if timedOut {
 		wait = l.config.QueueTimeout
 	}
 	select {
@@ -215,53 +216,54 @@
 	case <-r.Context().Done():
 		return false
 	}
-	return !late && !down
+	return !timedOut && !down
 }
 
-// update is what a watch finds in the list.
+// update is the part of the list that is sent in answer to a call or to a change.
 type update struct {
 	version   int64
 	full      bool
 	endpoints []Endpoint
 	down      bool
-	changed   <-chan struct{} // closed at the next change
+	changed   <-chan struct{} // closed when the list has to be read again
 }
 
-// nextUpdate returns the changes after a version for a node: the full list for one that is unknown.
+// nextUpdate returns the changes after a version for a node. An unknown version counts as 0. The update is marked as
+// full for version 0 and for calls that do not follow changes.
 func (l *ListService) nextUpdate(node int, version int64, follow bool) update {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	u := update{version: l.version(node), down: l.down, changed: l.changed}
-	if u.version < int64(len(l.changes)) {
+	result := update{version: l.version(node), down: l.down, changed: l.changed}
+	if result.version < int64(len(l.changes)) {
 		l.StaleAnswers.Add(1)
 	}
-	u.full = !follow || version > u.version || version <= 0
-	if version > u.version {
+	result.full = !follow || version > result.version || version <= 0
+	if version > result.version {
 		version = 0
 	}
-	u.endpoints = l.since(node, version)
-	return u
+	result.endpoints = l.changesSince(node, version)
+	return result
 }
 
-// line returns the update as the service writes it, and the endpoints in it.
-func (u update) line() ([]byte, []Endpoint) {
+// encode returns the update as a line of JSON, and the endpoints in it.
+func (u update) encode() ([]byte, []Endpoint) {
 	endpoints := slices.Clone(u.endpoints)
 	if u.full {
 		endpoints = slices.DeleteFunc(endpoints, func(e Endpoint) bool { return e.State == stateRemoved })
 	}
 	if endpoints == nil {
-		endpoints = []Endpoint{} // JSON: [], not null
+		endpoints = []Endpoint{} // encoded as [], not null
 	}
 	line, _ := json.Marshal(map[string]any{"version": u.version, "full": u.full, "servers": endpoints})
 	return append(line, '\n'), endpoints
 }
 
-// serve answers a call of a node: once, or as a watch until the call or the service ends.
+// serve answers a call of a node.
 func (l *ListService) serve(node int, w http.ResponseWriter, r *http.Request) {
-	begun := time.Now()
-	ok := l.waitTurn(r)
-	l.onCall(Call{At: begun, Done: time.Now(), Node: node, Failed: !ok})
-	if !ok {
+	calledAt := time.Now()
+	answered := l.awaitProcessing(r)
+	l.onCall(Call{At: calledAt, Done: time.Now(), Node: node, Failed: !answered})
+	if !answered {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -270,7 +272,7 @@
 	l.writeUpdates(node, version, follow, w, r.Context().Done())
 }
 
-// writeUpdates writes the list, and for a watch its changes, until the call or the service ends.
+// writeUpdates writes the list. If follow is true, it then writes changes until the call ends or the service is down.
 func (l *ListService) writeUpdates(
 	node int, version int64, follow bool, w http.ResponseWriter, callDone <-chan struct{},
 ) {
@@ -280,18 +282,18 @@
 		return err == nil && controller.Flush() == nil
 	}
 	for first := true; ; first = false {
-		u := l.nextUpdate(node, version, follow)
+		next := l.nextUpdate(node, version, follow)
 		switch {
-		case u.down:
+		case next.down:
 			return
-		case first || len(u.endpoints) > 0:
-			if !write(l.notify(node, u)) || !follow {
+		case first || len(next.endpoints) > 0:
+			if !write(l.notify(node, next)) || !follow {
 				return
 			}
-			version = u.version
+			version = next.version
 		}
 		select {
-		case <-u.changed:
+		case <-next.changed:
 		case <-time.After(keepAliveInterval):
 			if !write([]byte("\n")) {
 				return
@@ -302,9 +304,9 @@
 	}
 }
 
-// notify reports an update that is about to be written, and returns its line.
+// notify calls onNotification for an update that is about to be written, and returns the encoded update.
 func (l *ListService) notify(node int, u update) []byte {
-	line, endpoints := u.line()
+	line, endpoints := u.encode()
 	l.onNotification(Notification{At: time.Now(), Node: node, Version: u.version, Endpoints: endpoints})
 	return line
 }
--- a/lab/emulator/malformed.go
+++ b/lab/emulator/malformed.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// SetMalformedFraction sets the fraction of malformed answers from now on: 0 for none, 1 for all.
+// SetMalformedFraction sets the fraction of answers that are malformed, from 0 to 1.
 func (s *Server) SetMalformedFraction(fraction float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -25,49 +25,50 @@
 	return s.malformedFraction > 0 && rand.Float64() < s.malformedFraction
 }
 
-// malformedAnswers write answers to a first line that are malformed or late. The connection is closed after each.
-var malformedAnswers = []func(c *malformedConn, request string){
-	func(_ *malformedConn, _ string) {}, // closed without an answer
+// malformedAnswers are functions that write a malformed or late answer to the first line of an attempt. The connection
+// is closed afterwards.
+var malformedAnswers = []func(c *malformedConn, requestID string){
+	func(_ *malformedConn, _ string) {}, // no answer
 	func(c *malformedConn, _ string) { c.Conn.(*conn).Abort() },
-	func(c *malformedConn, _ string) { io.WriteString(c, "UP\r\n") }, // without the request ID
-	func(c *malformedConn, request string) { fmt.Fprintf(c, "UP %s", request) },
-	func(c *malformedConn, request string) { fmt.Fprintf(c, "UP %s\n", request) },
-	func(c *malformedConn, request string) { fmt.Fprintf(c, "UP %s extra\r\n", request) },
+	func(c *malformedConn, _ string) { io.WriteString(c, "UP\r\n") }, // no request ID
+	func(c *malformedConn, requestID string) { fmt.Fprintf(c, "UP %s", requestID) },
+	func(c *malformedConn, requestID string) { fmt.Fprintf(c, "UP %s\n", requestID) },
+	func(c *malformedConn, requestID string) { fmt.Fprintf(c, "UP %s extra\r\n", requestID) },
 	func(c *malformedConn, _ string) { io.WriteString(c, "BUS") },
 	func(c *malformedConn, _ string) { io.WriteString(c, "BUSY\x00\r\n") },
-	func(c *malformedConn, _ string) { io.WriteString(c, strings.Repeat("x", 16<<10)) }, // an unterminated line
+	func(c *malformedConn, _ string) { io.WriteString(c, strings.Repeat("x", 16<<10)) }, // unterminated line
 	func(c *malformedConn, _ string) { io.WriteString(c, "ERR\r\nERR\r\n") },
-	func(c *malformedConn, request string) { // in two parts, the second one late
+	func(c *malformedConn, requestID string) { // two parts, the second of them late
 		io.WriteString(c, "UP ")
-		if c.staysOpen(300 * time.Millisecond) {
-			io.WriteString(c, request)
+		if c.remainsOpen(300 * time.Millisecond) {
+			io.WriteString(c, requestID)
 		}
 	},
-	func(c *malformedConn, request string) { // long after every deadline
-		if c.staysOpen(2 * time.Second) {
-			fmt.Fprintf(c, "UP %s\r\n", request)
+	func(c *malformedConn, requestID string) { // after any deadline
+		if c.remainsOpen(2 * time.Second) {
+			fmt.Fprintf(c, "UP %s\r\n", requestID)
 		}
 	},
 }
 
-func writeMalformedAnswer(c net.Conn, in *bufio.Reader, request string) {
-	malformedAnswers[rand.IntN(len(malformedAnswers))](&malformedConn{c, in}, request)
+func writeMalformedAnswer(c net.Conn, reader *bufio.Reader, requestID string) {
+	malformedAnswers[rand.IntN(len(malformedAnswers))](&malformedConn{c, reader}, requestID)
 }
 
-// malformedConn is a connection that gets a malformed answer.
+// malformedConn is a connection on which a malformed answer is written.
 type malformedConn struct {
 	net.Conn
-	in *bufio.Reader
+	reader *bufio.Reader
 }
 
-// staysOpen waits, and tells whether the peer stayed connected.
-func (c *malformedConn) staysOpen(d time.Duration) bool {
-	c.SetReadDeadline(time.Now().Add(d))
-	_, err := c.in.Peek(1)
+// remainsOpen waits for at most a duration, and reports whether the peer is still connected.
+func (c *malformedConn) remainsOpen(duration time.Duration) bool {
+	c.SetReadDeadline(time.Now().Add(duration))
+	_, err := c.reader.Peek(1)
 	return err == nil || errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// malformedReports are malformed answers to a health check or a question for the load.
+// malformedReports are malformed answers to PING and STATS.
 var malformedReports = []string{
 	"", "PONG x0=", "PONG x0=inf\r\n", "PONG x0=-3\r\n", "NO\r\n", "ERR\r\n", "PONG x0=0.1\r\nPONG x0=0.1\r\n",
 }
--- a/lab/emulator/serverconn.go
+++ b/lab/emulator/serverconn.go
@@ -9,27 +9,27 @@
 	"time"
 )
 
-// firstLineTimeout bounds the lines before an attempt.
+// firstLineTimeout is the maximum time from the start of a connection to the first line of an attempt.
 const firstLineTimeout = time.Minute
 
-// openFields is the number of fields of an OPEN line that the server reads: verb, request ID and client's key.
+// openFields is the number of fields of an OPEN line that the server reads: verb, request ID and client key.
 const openFields = 3
 
-// maxUtilization is the utilization from which attempts are rejected.
+// maxUtilization is the utilization at which the server starts to reject attempts.
 const maxUtilization = 2
 
-// serve answers the lines of a connection until it is closed.
+// serve answers the lines received on a connection until the connection is closed.
 func (s *Server) serve(c *conn) {
 	defer c.Close()
 	if !s.addConn(c) {
 		return
 	}
 	defer s.removeConn(c)
-	timeout := time.AfterFunc(firstLineTimeout, func() { c.Close() })
-	defer timeout.Stop()
-	in := bufio.NewReader(c)
+	firstLineTimer := time.AfterFunc(firstLineTimeout, func() { c.Close() })
+	defer firstLineTimer.Stop()
+	reader := bufio.NewReader(c)
 	for {
-		line, err := in.ReadString('\n')
+		line, err := reader.ReadString('\n')
 		if err != nil {
 			return
 		}
@@ -41,13 +41,13 @@
 			return
 		}
 		event := s.newEvent(c, fields)
-		s.handle(event)
-		if hanging != nil && !s.hang(c, in, hanging, event) {
+		s.handleEvent(event)
+		if hanging != nil && !s.hang(c, reader, hanging, event) {
 			return
 		}
 		if event.Kind == AttemptReceived {
-			timeout.Stop()
-			s.serveAttempt(c, in, event, draining)
+			firstLineTimer.Stop()
+			s.serveAttempt(c, reader, event, draining)
 			return
 		}
 		if !s.answerHealthCheck(c, fields[0], draining) {
@@ -56,7 +56,7 @@
 	}
 }
 
-// addConn tells whether the server takes a connection: not once it has stopped.
+// addConn registers a connection. It reports false if the server has stopped.
 func (s *Server) addConn(c *conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,7 +81,7 @@
 	return event
 }
 
-// answerHealthCheck answers a line other than OPEN, and tells whether the connection goes on.
+// answerHealthCheck answers PING, STATS or an unknown verb, and reports whether the connection remains open.
 func (s *Server) answerHealthCheck(c *conn, verb string, draining bool) bool {
 	switch {
 	case s.isNextMalformed():
@@ -98,24 +98,24 @@
 	return true
 }
 
-// hang waits while the server hangs, and tells whether the peer is still connected then.
-func (s *Server) hang(c *conn, in *bufio.Reader, hanging <-chan struct{}, event Event) bool {
+// hang waits while the server hangs, and reports whether the peer is still connected afterwards.
+func (s *Server) hang(c *conn, reader *bufio.Reader, hanging <-chan struct{}, event Event) bool {
 	s.HangingLines.Add(1)
-	if waitWhileHanging(c, in, hanging) {
+	if waitWhileHanging(c, reader, hanging) {
 		return true
 	}
 	if event.Kind == AttemptReceived {
 		event.At, event.Kind = time.Now(), AttemptEnded
-		s.handle(event)
+		s.handleEvent(event)
 	}
 	return false
 }
 
-// waitWhileHanging tells whether the peer is still connected when the server answers again.
-func waitWhileHanging(c net.Conn, in *bufio.Reader, hanging <-chan struct{}) bool {
+// waitWhileHanging waits until the hanging channel is closed, and reports whether the peer is still connected.
+func waitWhileHanging(c net.Conn, reader *bufio.Reader, hanging <-chan struct{}) bool {
 	peeked := make(chan error, 1)
 	go func() {
-		_, err := in.Peek(1)
+		_, err := reader.Peek(1)
 		peeked <- err
 	}()
 	select {
@@ -123,7 +123,7 @@
 		if err != nil {
 			return false
 		}
-		<-hanging // the peer sent more without an answer
+		<-hanging // the peer sent more data without waiting for an answer
 	case <-hanging:
 		c.SetReadDeadline(time.Unix(1, 0)) // interrupts Peek
 		<-peeked
@@ -132,14 +132,14 @@
 	return true
 }
 
-// serveAttempt answers an attempt, and serves the connection that it becomes: an echo.
-func (s *Server) serveAttempt(c net.Conn, in *bufio.Reader, event Event, draining bool) {
+// serveAttempt answers an attempt. If the attempt is accepted, it echoes the lines received on the connection.
+func (s *Server) serveAttempt(c net.Conn, reader *bufio.Reader, event Event, draining bool) {
 	defer func() {
 		s.mu.Lock()
-		delete(s.open, c)
+		delete(s.openConns, c)
 		s.mu.Unlock()
 		event.At, event.Kind = time.Now(), AttemptEnded
-		s.handle(event)
+		s.handleEvent(event)
 	}()
 	if draining {
 		s.reject(c, event)
@@ -147,40 +147,40 @@
 	}
 	if s.isNextMalformed() {
 		s.MalformedAnswers.Add(1)
-		writeMalformedAnswer(c, in, event.Request)
+		writeMalformedAnswer(c, reader, event.Request)
 		return
 	}
 	s.mu.Lock()
 	stopped := s.stopped
 	limit := maxUtilization * float64(s.Config.Capacity) * s.CapacityFraction(time.Now())
-	full := float64(len(s.open)) >= limit
-	if !stopped && !full {
-		s.open[c] = true
+	atLimit := float64(len(s.openConns)) >= limit
+	if !stopped && !atLimit {
+		s.openConns[c] = true
 	}
 	s.mu.Unlock()
 	switch {
 	case stopped:
 		return
-	case full:
+	case atLimit:
 		s.reject(c, event)
 		return
 	}
 	if _, err := fmt.Fprintf(c, "UP %s\r\n", event.Request); err != nil {
 		return
 	}
-	echo(c, in)
+	echo(c, reader)
 }
 
 func (s *Server) reject(c net.Conn, event Event) {
 	event.At, event.Kind = time.Now(), AttemptRejected
-	s.handle(event)
+	s.handleEvent(event)
 	io.WriteString(c, "BUSY\r\n")
 }
 
 // echo writes each line back until the connection is closed.
-func echo(c net.Conn, in *bufio.Reader) {
+func echo(c net.Conn, reader *bufio.Reader) {
 	for {
-		line, err := in.ReadString('\n')
+		line, err := reader.ReadString('\n')
 		if err != nil {
 			return
 		}
