--- a/lab/checker/checker.go
+++ b/lab/checker/checker.go
@@ -1,7 +1,8 @@
-// Package checker checks a history of what many processes of the program did together: the clients report what they
-// sent and received, the servers what they received, the list service what it reported, all by one clock. It shares no
-// code with the program's decisions, and its verdict does not depend on the order in which reports arrive within its
-// slack. Which faults are injected is left to the callers, who report them too, as a faulty node owes less.
+// Package checker checks the history of a run of many nodes against the program's guarantees. Callers record what the
+// clients sent and received, what the servers received and what the list service reported, with times of a single
+// clock. They also inject the faults and record them, because the guarantees are weaker at a node with a fault. The
+// package shares no code with the program's decisions. Its results do not depend on the order in which events are
+// recorded within the configured slack.
 package checker
 
 import (
@@ -11,164 +12,172 @@
 	"time"
 )
 
-// maxMessages bounds the violations that are described in words.
+// maxMessages is the maximum number of violations that are described.
 const maxMessages = 40
 
-// messageTime is the form of the time before a message.
+// messageTime is the layout of the time at the start of a description.
 const messageTime = "15:04:05.000 "
 
-// Kinds of rate limits that the checker counts itself.
+// Kinds of rate limits whose events the checker derives from attempts.
 const (
 	opensPerSecond   = "opens_per_s"
 	retriesPerSecond = "retries_per_s"
 	openPerCustomer  = "open_per_customer"
 )
 
-// Config has the bounds that are checked.
+// Config holds the bounds that are checked.
 type Config struct {
-	AnswerGrace time.Duration // from a request's deadline to its final answer, at most
-	DrainGrace  time.Duration // from the report that a server drains to the last attempt there, at most
-	Slack       time.Duration // error of times at two places, the caller's own lateness included
+	AnswerGrace time.Duration // maximum time from a request's deadline to its final answer
+	DrainGrace  time.Duration // maximum time from the notification of a server's drain to an attempt at it
+	Slack       time.Duration // maximum difference between times at two places, including delays of the caller
 
-	// RateLimits are the limits of events in any second, by kind; 0 means no limit. "retries_per_s" counts attempts
-	// of a request after its first; "open_per_customer" counts connections at the same time.
+	// RateLimits holds the maximum number of events in any second, by kind; 0 means no limit. "retries_per_s" counts
+	// attempts of a request after its first. "open_per_customer" limits concurrent connections instead.
 	RateLimits map[string]int
 
-	// SlowStartLimit returns the attempts that a server in slow start may get within OverloadWindow, by its age at the
-	// end of the window, from all nodes that know of its start. MaxSlowStartSends adds a margin.
+	// SlowStartLimit returns the number of attempts allowed within OverloadWindow at a server in slow start, from all
+	// nodes that were notified of its start. age is the server's age at the end of the window. MaxSlowStartSends adds a
+	// margin. SlowStartWindow is the length of the slow start.
 	OverloadWindow  time.Duration
 	SlowStartLimit  func(age time.Duration) float64
 	SlowStartWindow time.Duration
 
-	DepartureGrace time.Duration // from a client's departure to the last start of an attempt for it, at most
+	DepartureGrace time.Duration // maximum time from a client's departure to the start of an attempt for it
 
-	// IdempotencyWindow is the time from the first attempt that may have been executed in which a server drops
-	// repetitions of a keyed request.
+	// IdempotencyWindow is the time for which a server drops repetitions of a keyed request, counted from the first
+	// attempt that may have been executed.
 	IdempotencyWindow time.Duration
 
-	ReadyTimeout time.Duration // in which nine of ten processes that an event started are ready; 0 means no bound
+	ReadyTimeout time.Duration // within which 90% of the processes started by an event are ready; 0 means no bound
 }
 
-// MaxSlowStartSends returns the limit of attempts in a window for which n are allowed, n being 0 or more: the stricter
-// one of n + 1 and the operators' bound, n + 2√n + 2.
-func MaxSlowStartSends(n float64) float64 { return min(n+1, n+2*math.Sqrt(n)+2) }
+// MaxSlowStartSends returns the limit of attempts in a window for n allowed attempts, where n is 0 or more. It is the
+// stricter one of n + 1 and the operators' bound, n + 2√n + 2.
+func MaxSlowStartSends(n float64) float64 {
+	return min(n+1, n+2*math.Sqrt(n)+2)
+}
 
-// Idempotency tells what the repetition of a request does.
+// Idempotency states whether a request may be executed repeatedly.
 type Idempotency int
 
-// The kinds of requests.
+// Kinds of requests by idempotency.
 const (
-	Idempotent      Idempotency = iota // a repetition does no harm
-	KeyedIdempotent                    // a repetition does no harm within Config.IdempotencyWindow
-	NotIdempotent                      // a repetition does the work again
+	Idempotent      Idempotency = iota // repetitions are harmless
+	KeyedIdempotent                    // repetitions are harmless within Config.IdempotencyWindow
+	NotIdempotent                      // repetitions execute the request again
 )
 
-// Checker collects a history and counts the violations in it. Its methods may be called from any goroutine; its figures
-// are read after Check, by one.
+// Checker collects a history and counts the violations in it. Its methods are safe for concurrent use. Its fields are
+// valid after Check has returned.
 type Checker struct {
 	config Config
 
 	mu             sync.Mutex
 	violations     Violations
 	messages       []string
-	disturbed      map[int][]span // by node: when the caller injected a fault
-	impaired       map[int][]span // by node: when its messages to servers were delayed or lost
+	disturbed      map[int][]interval // by node: periods of injected faults
+	impaired       map[int][]interval // by node: periods in which its messages to servers were delayed or lost
 	requests       map[string]*request
-	attempts       map[string]*attempt // by request: the last one
+	attempts       map[string]*attempt // by request ID: the latest attempt
 	concurrent     []overlap
-	leavingSince   map[nodeServer]time.Time // when the node was notified that the server drains or is removed
-	knownStarts    map[nodeServer]time.Time // the server's start, of which the node was notified
-	slowStartSends []send
-	rateEvents     map[rateKey][]span
-	openByCustomer map[string]map[string]int // by customer and request: attempts and connections at servers
+	leavingSince   map[nodeServer]time.Time // time of the notification that the server drains or is removed
+	knownStarts    map[nodeServer]time.Time // start of the server of which the node was notified last
+	slowStartSends []slowStartSend
+	rateEvents     map[rateKey][]interval
+	openByCustomer map[string]map[string]int // by customer and request ID: number of open attempts and connections
 	retries        int
 	startsByEvent  map[int][]processStart
-	notClosed      []idleClient
+	idleClients    []idleClient
 
-	Excused              int     // requests without an answer that a fault at their node excuses
+	Excused              int     // unanswered requests that are excused by a fault at their node
 	Answered             int     // requests that were answered in time
-	SlowStartSends       int     // attempts at servers in slow start by nodes that knew of it
-	Retries              int     // attempts after the first of their request
-	MaxOpen              int     // connections of one customer at the same time, at most; 0 without a limit of them
-	ForeignRequests      int     // requests that servers got but no client reported: another run uses the same ports
-	SlowStartUtilization float64 // of the fullest window of a server in slow start; 1 is the limit
+	SlowStartSends       int     // attempts at servers in slow start by nodes notified of their start
+	Retries              int     // attempts after the first one of their request
+	MaxOpen              int     // maximum number of concurrent connections of one customer; 0 if they are not limited
+	ForeignRequests      int     // requests received by servers that no client sent, as another run uses the same ports
+	SlowStartUtilization float64 // maximum ratio of attempts in a slow-start window to their limit
 }
 
+// nodeServer identifies a server as seen by a node.
 type nodeServer struct {
 	node   int
 	server string
 }
 
-// rateKey names what a rate limit applies to.
+// rateKey identifies the subject of a rate limit.
 type rateKey struct{ kind, owner string }
 
-// processStart is a process that was ready after the duration, or was watched for so long without being so.
+// processStart is the start of a process. The process became ready after the duration, or was observed for the duration
+// without becoming ready.
 type processStart struct {
 	duration time.Duration
 	ready    bool
 }
 
-// span is an interval of time; a zero end means that it goes on.
-type span struct{ from, to time.Time }
+// interval is a time interval. If to is zero, the interval has not ended.
+type interval struct{ from, to time.Time }
 
+// request is a request that a client sent.
 type request struct {
 	node             int
 	idempotency      Idempotency
-	leftAt           time.Time // when its client left unanswered; zero if it did not
-	executedAt       time.Time // when the first attempt that may have been executed arrived
+	leftAt           time.Time // departure of the client before an answer; zero if it did not leave
+	executedAt       time.Time // arrival of the first attempt that may have been executed; zero if there is none
 	customer         string
 	sentAt, deadline time.Time
-	answeredAt       time.Time
+	answeredAt       time.Time // zero without a final answer
 }
 
+// attempt is an attempt of a request that a server received.
 type attempt struct {
 	server     string
 	receivedAt time.Time
 	ended      bool
 }
 
-// idleClient is a client that sent no request and was not disconnected in time.
+// idleClient is a client without a request whose node did not disconnect it in time.
 type idleClient struct {
 	description string
 	node        int
 	at          time.Time
 }
 
-// overlap is an attempt that arrived while another of its request seemed to be in progress.
+// overlap is a pair of attempts of a request. The second arrived before the end of the first was recorded.
 type overlap struct {
 	request string
 	first   *attempt
-	at      time.Time
-	second  string
+	at      time.Time // arrival of the second attempt
+	second  string    // server of the second attempt
 }
 
-// send is an attempt at a server in slow start.
-type send struct {
-	at      time.Time
-	node    int
-	server  string
-	id      string
-	started time.Time
+// slowStartSend is an attempt at a server in slow start by a node notified of the start.
+type slowStartSend struct {
+	at        time.Time
+	node      int
+	server    string
+	requestID string
+	started   time.Time
 }
 
 // New returns a Checker with an empty history.
 func New(config Config) *Checker {
 	return &Checker{
 		config:         config,
-		disturbed:      map[int][]span{},
-		impaired:       map[int][]span{},
+		disturbed:      map[int][]interval{},
+		impaired:       map[int][]interval{},
 		requests:       map[string]*request{},
 		attempts:       map[string]*attempt{},
 		leavingSince:   map[nodeServer]time.Time{},
 		knownStarts:    map[nodeServer]time.Time{},
-		rateEvents:     map[rateKey][]span{},
+		rateEvents:     map[rateKey][]interval{},
 		openByCustomer: map[string]map[string]int{},
 		startsByEvent:  map[int][]processStart{},
 	}
 }
 
-// violate counts a violation and describes it. c.mu is held.
-func (c *Checker) violate(count *int, at time.Time, format string, args ...any) {
+// recordViolation increments the count of a rule and describes the violation, for up to maxMessages violations. c.mu
+// must be held.
+func (c *Checker) recordViolation(count *int, at time.Time, format string, args ...any) {
 	*count++
 	if len(c.messages) < maxMessages {
 		c.messages = append(c.messages, at.Format(messageTime)+fmt.Sprintf(format, args...))
--- a/lab/checker/checker_test.go
+++ b/lab/checker/checker_test.go
@@ -6,42 +6,43 @@
 	"time"
 )
 
-// A request that no client here sent belongs to another run on the same ports.
+// Guards against results that are distorted by another run on the same ports: requests that no client sent must be
+// counted.
 func TestForeignRequestsAreCounted(t *testing.T) {
 	c := New(Config{})
 	c.RequestSent("a", 0, "c", Idempotent, time.Now(), time.Now())
 	c.AttemptReceived(0, "s", "a", time.Now(), time.Time{})
 	c.AttemptReceived(0, "s", "b", time.Now(), time.Time{})
 	if c.Check(time.Now()); c.ForeignRequests != 1 {
-		t.Errorf("%d foreign", c.ForeignRequests)
+		t.Errorf("got %d foreign requests, want 1", c.ForeignRequests)
 	}
 }
 
-// The limit of attempts at a server in slow start is the stricter one of the operators' bound and one more than
-// allowed: it exceeds neither, and is one of the two.
-func TestMaxSlowStartSendsIsTheStricterBound(t *testing.T) {
-	for n := 0.0; n < 1000; n += 0.01 {
-		allowance, operators := n+1, n+2*math.Sqrt(n)+2
-		limit := MaxSlowStartSends(n)
-		if limit > allowance || limit > operators || limit != allowance && limit != operators {
-			t.Fatalf("of %.2f allowed %.2f may come; %.2f and %.2f are the bounds", n, limit, allowance, operators)
+// The limit of attempts at a server in slow start must equal one of the two bounds, the operators' bound and one more
+// than allowed, and exceed neither.
+func TestMaxSlowStartSendsUsesStricterBound(t *testing.T) {
+	for allowed := 0.0; allowed < 1000; allowed += 0.01 {
+		strictBound, operatorBound := allowed+1, allowed+2*math.Sqrt(allowed)+2
+		limit := MaxSlowStartSends(allowed)
+		if limit > strictBound || limit > operatorBound || limit != strictBound && limit != operatorBound {
+			t.Fatalf("%.2f allowed: limit %.2f, bounds %.2f and %.2f", allowed, limit, strictBound, operatorBound)
 		}
 	}
 }
 
-// testCase is a history and the violations in it.
+// testCase is a history and the violations expected in it.
 type testCase struct {
-	play func(c *Checker)
-	want Violations
+	record func(c *Checker)
+	want   Violations
 }
 
 var historyStart = time.Now().Add(-time.Hour).Truncate(time.Millisecond)
 
-// at returns a time in milliseconds from the start of the history.
+// at returns the time at a number of milliseconds after the start of the history.
 func at(ms int) time.Time { return historyStart.Add(time.Duration(ms) * time.Millisecond) }
 
-// Each kind of violation is found, and a sound history has none.
-func TestEachViolationIsFound(t *testing.T) {
+// Guards against missed and false violations: histories with one violated rule, and similar ones without a violation.
+func TestViolationsAreDetected(t *testing.T) {
 	config := Config{
 		AnswerGrace: 70 * time.Millisecond, DrainGrace: 500 * time.Millisecond, Slack: 100 * time.Millisecond,
 		DepartureGrace: 100 * time.Millisecond, IdempotencyWindow: 2 * time.Second, ReadyTimeout: 10 * time.Second,
@@ -55,7 +56,7 @@
 		for name, test := range cases {
 			t.Run(name, func(t *testing.T) {
 				c := New(config)
-				test.play(c)
+				test.record(c)
 				if got, messages := c.Check(time.Now()); got != test.want {
 					t.Errorf("%+v, want %+v: %q", got, test.want, messages)
 				}
@@ -64,9 +65,9 @@
 	}
 }
 
-// answerCases are histories of answers, and a sound one.
+// answerCases are histories of answers, and one of a correct run.
 var answerCases = map[string]testCase{
-	"sound": {func(c *Checker) {
+	"correct run": {func(c *Checker) {
 		c.RequestSent("a", 0, "c", Idempotent, at(0), at(1000))
 		c.AttemptReceived(0, "s", "a", at(1), time.Time{})
 		c.AttemptEnded("s", "a")
@@ -74,7 +75,7 @@
 		c.AnswerReceived("a", at(30))
 		c.EndpointReported(0, "s", true, time.Time{}, at(40))
 		c.AttemptReceived(0, "s", "b", at(500), time.Time{})
-		for i := range 3 { // the first may have been let in long before; the others surely within the second
+		for i := range 3 { // the first may be earlier; only two are certainly within one second
 			c.RateLimitedEvent("opens_per_s", "a", at(400*i), at(500+200*i))
 			c.RateLimitedEvent("opens_per_s", "b", at(1000*i), at(1000*i))
 		}
@@ -82,49 +83,49 @@
 	"no answer": {func(c *Checker) {
 		c.RequestSent("a", 0, "c", Idempotent, at(0), at(1000))
 	}, Violations{Unanswered: 1}},
-	"a late answer": {func(c *Checker) {
+	"late answer": {func(c *Checker) {
 		c.RequestSent("a", 0, "c", Idempotent, at(0), at(1000))
 		c.AnswerReceived("a", at(1500))
 	}, Violations{Unanswered: 1}},
-	"closed": {func(c *Checker) {
+	"connection closed": {func(c *Checker) {
 		c.RequestSent("a", 0, "c", Idempotent, at(0), at(1000))
 		c.ConnectionClosed("a", at(10))
 	}, Violations{Unanswered: 1}},
-	"its node killed": {func(c *Checker) {
+	"node disturbed": {func(c *Checker) {
 		c.RequestSent("a", 0, "c", Idempotent, at(0), at(1000))
 		c.NodeDisturbed(0, at(5), at(6))
 	}, Violations{}},
-	"another killed": {func(c *Checker) {
+	"another node disturbed": {func(c *Checker) {
 		c.RequestSent("a", 0, "c", Idempotent, at(0), at(1000))
 		c.NodeDisturbed(1, at(5), at(6))
 	}, Violations{Unanswered: 1}},
-	"killed before": {func(c *Checker) {
+	"node disturbed before the request": {func(c *Checker) {
 		c.RequestSent("a", 0, "c", Idempotent, at(10), at(1000))
 		c.NodeDisturbed(0, at(5), at(6))
 	}, Violations{Unanswered: 1}},
-	"a second answer": {func(c *Checker) {
+	"second answer": {func(c *Checker) {
 		c.RequestSent("a", 0, "c", Idempotent, at(0), at(1000))
 		c.AnswerReceived("a", at(1))
 		c.AnswerReceived("a", at(2))
 	}, Violations{AfterFinalAnswer: 1}},
-	"one made up": {func(c *Checker) { c.AnswerReceived("a", at(1)) }, Violations{AfterFinalAnswer: 1}},
+	"answer without a request": {func(c *Checker) { c.AnswerReceived("a", at(1)) }, Violations{AfterFinalAnswer: 1}},
 }
 
-// attemptCases are histories of attempts at the same time.
+// attemptCases are histories of concurrent attempts.
 var attemptCases = map[string]testCase{
-	"two at once": {func(c *Checker) {
+	"concurrent attempts": {func(c *Checker) {
 		c.AttemptReceived(0, "s", "a", at(1), time.Time{})
 		c.AttemptReceived(0, "t", "a", at(20), time.Time{})
-		c.AttemptEnded("s", "a") // long after
+		c.AttemptEnded("s", "a") // recorded too late
 	}, Violations{Concurrent: 1}},
-	"two at once, as the end of one was held back": {func(c *Checker) {
+	"overlap due to an impaired link": {func(c *Checker) {
 		c.RequestSent("a", 0, "c", Idempotent, at(0), at(1000))
 		c.AttemptReceived(0, "s", "a", at(1), time.Time{})
 		c.AttemptReceived(0, "t", "a", at(200), time.Time{})
 		c.ServerLinksImpaired(0, at(100), at(300))
 		c.AnswerReceived("a", at(250))
 	}, Violations{}},
-	"two at once, beside another node's link": {func(c *Checker) {
+	"overlap with an impaired link of another node": {func(c *Checker) {
 		c.RequestSent("a", 0, "c", Idempotent, at(0), at(1000))
 		c.AttemptReceived(0, "s", "a", at(1), time.Time{})
 		c.AttemptReceived(0, "t", "a", at(200), time.Time{})
@@ -133,56 +134,56 @@
 	}, Violations{Concurrent: 1}},
 }
 
-// repetitionCases are histories of repetitions, and of clients that left or did not.
+// repetitionCases are histories of repeated attempts, of clients that left and of clients that were not disconnected.
 var repetitionCases = map[string]testCase{
-	"an unsafe request repeated": {func(c *Checker) {
+	"not idempotent": {func(c *Checker) {
 		c.RequestSent("a", 0, "c", NotIdempotent, at(0), at(1000))
 		c.AttemptReceived(0, "s", "a", at(1), time.Time{})
-		c.AttemptRejected("s", "a") // it has not run, so the next one is the first
+		c.AttemptRejected("s", "a") // not executed, so the next attempt counts as the first
 		c.AttemptEnded("s", "a")
 		c.AttemptReceived(0, "t", "a", at(20), time.Time{})
 		c.AttemptEnded("t", "a")
 		c.AttemptReceived(0, "u", "a", at(40), time.Time{})
 		c.AnswerReceived("a", at(50))
 	}, Violations{Repeated: 1}},
-	"a keyed request repeated after its window": {func(c *Checker) {
+	"keyed, after the idempotency window": {func(c *Checker) {
 		c.RequestSent("a", 0, "c", KeyedIdempotent, at(0), at(9000))
-		for i, s := range []string{"s", "t", "u"} { // the window is 2 s
-			c.AttemptReceived(0, s, "a", at(1+1500*i), time.Time{})
-			c.AttemptEnded(s, "a")
+		for i, server := range []string{"s", "t", "u"} { // the window is 2 s
+			c.AttemptReceived(0, server, "a", at(1+1500*i), time.Time{})
+			c.AttemptEnded(server, "a")
 		}
 		c.AnswerReceived("a", at(4000))
 	}, Violations{Repeated: 1}},
-	"for a client that has left": {func(c *Checker) {
+	"attempt after client departure": {func(c *Checker) {
 		c.RequestSent("a", 0, "c", Idempotent, at(0), at(1000))
 		c.ClientLeft("a", at(10))
 		c.AttemptReceived(0, "s", "a", at(150), time.Time{})
 		c.AttemptEnded("s", "a")
 		c.AttemptReceived(0, "t", "a", at(250), time.Time{})
 	}, Violations{AfterDeparture: 1}},
-	"a client that says nothing": {func(c *Checker) {
-		c.ClientNotClosed("a client that says nothing", 0, at(9000))
-		c.ClientNotClosed("a client that says nothing", 1, at(9000))
+	"idle client": {func(c *Checker) {
+		c.ClientNotClosed("idle client", 0, at(9000))
+		c.ClientNotClosed("idle client", 1, at(9000))
 		c.NodeDisturbed(1, at(8000), at(8500))
 	}, Violations{NotClosed: 1}},
 }
 
 // limitCases are histories of rate limits and slow starts.
 var limitCases = map[string]testCase{
-	"retries over the whole": {func(c *Checker) {
-		for i := range 5 { // two are the whole; each request is tried twice
+	"too many retries": {func(c *Checker) {
+		for i := range 5 { // two retries per second are allowed; each request has one
 			id := string(rune('a' + i))
 			c.AttemptReceived(0, "s", id, at(400*i), time.Time{})
 			c.AttemptEnded("s", id)
 			c.AttemptReceived(0, "t", id, at(400*i+10), time.Time{})
 		}
 	}, Violations{RateLimits: 3}},
-	"opens over the whole": {func(c *Checker) {
+	"too many opens": {func(c *Checker) {
 		for i := range 4 {
 			c.RateLimitedEvent("opens_per_s", "a", at(100*i), at(100*i+50))
 		}
 	}, Violations{RateLimits: 2}},
-	"too many open": {func(c *Checker) { // the first has ended, six are left
+	"too many open connections": {func(c *Checker) { // the first has ended, so six are open
 		for i := range 7 {
 			id := string(rune('a' + i))
 			c.RequestSent(id, 0, "c", Idempotent, at(0), at(1000))
@@ -191,26 +192,26 @@
 			c.AttemptEnded("s", "a")
 		}
 	}, Violations{RateLimits: 1}},
-	"over the whole": {func(c *Checker) {
-		// Four are allowed, so five are within the stricter bound; ten would be within the operators'.
-		for i := range 6 { // the one that came first is out of the last one's window
+	"too many attempts in slow start": {func(c *Checker) {
+		// Four are allowed, so the stricter bound is five. The operators' bound would be ten.
+		for i := range 6 { // the first is not in the window of the last
 			c.EndpointReported(i, "s", false, historyStart, historyStart)
 			c.AttemptReceived(i, "s", string(rune('a'+i)), at(500*i), historyStart)
 		}
 		c.AttemptReceived(0, "s", "x", at(2600), historyStart)
-		c.AttemptReceived(0, "s", "y", at(2700), historyStart) // the sixth in its window
-		c.AttemptReceived(9, "s", "z", at(2700), historyStart) // of a node that knows of no start
+		c.AttemptReceived(0, "s", "y", at(2700), historyStart) // sixth attempt in the window
+		c.AttemptReceived(9, "s", "z", at(2700), historyStart) // from a node not notified of the start
 	}, Violations{SlowStart: 1}},
 }
 
 // notificationCases are histories of attempts at draining servers.
 var notificationCases = map[string]testCase{
-	"to one that drains": {func(c *Checker) {
+	"attempt at a draining server": {func(c *Checker) {
 		c.EndpointReported(0, "s", true, time.Time{}, at(0))
 		c.AttemptReceived(0, "s", "a", at(700), time.Time{})
-		c.AttemptReceived(1, "s", "b", at(700), time.Time{}) // was not told
+		c.AttemptReceived(1, "s", "b", at(700), time.Time{}) // not notified
 	}, Violations{LateSends: 1}},
-	"to one that drains, after a stop": {func(c *Checker) {
+	"attempt at a draining server by a resumed node": {func(c *Checker) {
 		c.EndpointReported(0, "s", true, time.Time{}, at(100))
 		c.NodeResumed(0, at(50), at(500))
 		c.AttemptReceived(0, "s", "a", at(1050), time.Time{})
@@ -220,13 +221,13 @@
 
 // readinessCases are histories of process starts.
 var readinessCases = map[string]testCase{
-	"one in ten ready late": {func(c *Checker) {
+	"one of ten ready late": {func(c *Checker) {
 		for i := range 10 {
 			c.ProcessStarted(0, time.Duration(i+1)*1001*time.Millisecond, true)
-			c.ProcessStarted(1, 9*time.Second, false) // the day was over
+			c.ProcessStarted(1, 9*time.Second, false) // observed for too short a time
 		}
 	}, Violations{}},
-	"two in ten ready late": {func(c *Checker) {
+	"two of ten ready late": {func(c *Checker) {
 		for i := range 10 {
 			c.ProcessStarted(0, time.Duration(i+2)*1001*time.Millisecond, true)
 			c.ProcessStarted(1, 9*time.Second, true)
@@ -234,6 +235,6 @@
 	}, Violations{Unready: 1}},
 	"never ready": {func(c *Checker) {
 		c.ProcessStarted(0, 11*time.Second, false)
-		c.ProcessStarted(0, time.Second, false) // of which nothing is known
+		c.ProcessStarted(0, time.Second, false) // observed for too short a time to count
 	}, Violations{Unready: 1}},
 }
--- a/lab/checker/golden_test.go
+++ b/lab/checker/golden_test.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// The counts as JSON, the figures beside them and the lines of a history with a violation of each rule are those of a
-// recorded file.
-func TestGolden(t *testing.T) {
-	begin := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	after := func(ms int) time.Time { return begin.Add(time.Duration(ms) * time.Millisecond) }
+// Guards against changes of the result format: the JSON form, the counters and the descriptions of a history with
+// violations of most rules must match a recorded file.
+func TestCheckMatchesGoldenFile(t *testing.T) {
+	start := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
+	after := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	c := New(Config{
 		AnswerGrace: 70 * time.Millisecond, DrainGrace: 500 * time.Millisecond, Slack: 100 * time.Millisecond,
 		DepartureGrace: 100 * time.Millisecond, IdempotencyWindow: 2 * time.Second, ReadyTimeout: 10 * time.Second,
@@ -39,11 +39,11 @@
 	c.ClientNotClosed("a client that says nothing", 4, after(9000))
 	c.EndpointReported(5, "w", true, time.Time{}, after(0))
 	c.AttemptReceived(5, "w", "late", after(900), time.Time{})
-	c.EndpointReported(6, "x", false, begin, after(0))
+	c.EndpointReported(6, "x", false, start, after(0))
 	for i := range 4 {
 		id := string(rune('a' + i))
 		c.RequestSent(id, 6, "e", Idempotent, after(1000), after(100000))
-		c.AttemptReceived(6, "x", id, after(1000+i), begin)
+		c.AttemptReceived(6, "x", id, after(1000+i), start)
 	}
 	c.ProcessStarted(0, 11*time.Second, false)
 	c.ProcessStarted(0, time.Second, true)
@@ -53,7 +53,7 @@
 	fmt.Fprintln(&text, string(data), err, violations.Any(), c.LastServer("twice"), c.LastServer("none"))
 	fmt.Fprintln(&text, c.Excused, c.Answered, c.SlowStartSends, c.Retries,
 		c.MaxOpen, c.ForeignRequests, c.SlowStartUtilization)
-	slices.Sort(messages) // some of its lines come in the order of a map
+	slices.Sort(messages) // the order of some depends on a map
 	fmt.Fprintln(&text, strings.Join(messages, "\n"))
 	want, err := os.ReadFile("testdata/golden.txt")
 	if err != nil || text.String() != string(want) {
@@ -61,8 +61,8 @@
 	}
 }
 
-// The printed form of the counts is that of a recorded file.
-func TestPrintedViolations(t *testing.T) {
+// The commands print this form, which must match a recorded file.
+func TestViolationsString(t *testing.T) {
 	want, err := os.ReadFile("testdata/printed.txt")
 	got := fmt.Sprintf("%+v\n", Violations{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
 	if err != nil || got != string(want) {
