--- a/lab/process/log.go
+++ b/lab/process/log.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	maxLogLines   = 400
-	maxCrashLines = 60
-	maxLineBytes  = 1 << 20
-	excerptLines  = 5
+	maxLogLines   = 400     // maximum number of stored lines
+	maxCrashLines = 60      // maximum number of stored lines of a crash report
+	maxLineBytes  = 1 << 20 // maximum length of a line; the log is discarded from a longer line on
+	excerptLines  = 5       // number of lines in an excerpt without a match
 )
 
-// readLog reads the log until it ends, waiting while it is paused. It keeps the last lines, the report of a crash, the
+// readLog reads the log until it ends, and waits while it is paused. It stores the last lines, the crash report, the
 // address and the counters.
 func (p *Process) readLog(log io.Reader, handle LogHandler) {
 	scanner := bufio.NewScanner(log)
@@ -34,19 +34,19 @@
 	io.Copy(io.Discard, log)
 }
 
-// keepLine stores a line for excerpts and crash reports. p.mu is held.
-func (p *Process) keepLine(text string, foreign bool) {
-	if len(p.crash) > 0 || foreign && beginsCrash(text) {
-		if len(p.crash) < maxCrashLines {
-			p.crash = append(p.crash, text)
+// keepLine stores a line for excerpts and, from the beginning of a crash report, for Crash. p.mu must be held.
+func (p *Process) keepLine(text string, notJSON bool) {
+	if len(p.crashLines) > 0 || notJSON && beginsCrash(text) {
+		if len(p.crashLines) < maxCrashLines {
+			p.crashLines = append(p.crashLines, text)
 		}
 	}
-	if p.lines = append(p.lines, text); len(p.lines) > maxLogLines {
-		p.lines = append([]string{p.lines[0]}, p.lines[len(p.lines)-maxLogLines/2:]...)
+	if p.lastLines = append(p.lastLines, text); len(p.lastLines) > maxLogLines {
+		p.lastLines = append([]string{p.lastLines[0]}, p.lastLines[len(p.lastLines)-maxLogLines/2:]...)
 	}
 }
 
-// applyLine takes over what a line of the log reports about the process. p.mu is held.
+// applyLine updates the state of the process from a line of the log. p.mu must be held.
 func (p *Process) applyLine(line map[string]any) {
 	switch line["msg"] {
 	case "serving":
@@ -63,7 +63,8 @@
 	}
 }
 
-// beginsCrash tells whether a line that is not JSON begins the Go runtime's report of a crash or a data race.
+// beginsCrash reports whether a line that is not JSON is the first line of the Go runtime's report of a crash or data
+// race.
 func beginsCrash(line string) bool {
 	for _, prefix := range []string{"panic: ", "fatal error: ", "WARNING: DATA RACE", "SIG"} {
 		if strings.HasPrefix(line, prefix) {
@@ -73,19 +74,21 @@
 	return false
 }
 
-// Crash returns the runtime's report of a crash or a data race, at most maxCrashLines of it; "" for none.
+// Crash returns the first maxCrashLines lines of the Go runtime's report of a crash or data race, or "" if there is
+// none.
 func (p *Process) Crash() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return strings.Join(p.crash, "\n")
+	return strings.Join(p.crashLines, "\n")
 }
 
-// PauseLog stops the reading of the log, so that the pipe fills, or ends one such pause. Pauses may overlap.
-func (p *Process) PauseLog(on bool) {
+// PauseLog pauses the reading of the log, so that the pipe fills, or ends a pause. Pauses may overlap; reading resumes
+// when all have ended.
+func (p *Process) PauseLog(paused bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case on:
+	case paused:
 		if p.logPauses++; p.logPauses == 1 {
 			p.logResumed = make(chan struct{})
 		}
@@ -105,30 +108,31 @@
 	}
 }
 
-// LogExcerpt returns the kept lines that contain a request's ID, or the last few where there are none or id is "".
-func (p *Process) LogExcerpt(id string) string {
+// LogExcerpt returns the stored lines that contain a request ID. If there are none, or requestID is "", it returns the
+// last excerptLines lines.
+func (p *Process) LogExcerpt(requestID string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var found []string
-	for _, line := range p.lines {
-		if id != "" && strings.Contains(line, id) {
-			found = append(found, line)
+	var matches []string
+	for _, line := range p.lastLines {
+		if requestID != "" && strings.Contains(line, requestID) {
+			matches = append(matches, line)
 		}
 	}
-	if len(found) == 0 {
-		found = p.lines[max(len(p.lines)-excerptLines, 0):]
+	if len(matches) == 0 {
+		matches = p.lastLines[max(len(p.lastLines)-excerptLines, 0):]
 	}
-	return fmt.Sprintf("node %d:\n  %s", p.Node, strings.Join(found, "\n  "))
+	return fmt.Sprintf("node %d:\n  %s", p.Node, strings.Join(matches, "\n  "))
 }
 
-// Counters returns the counters that it logged last; nil for none.
+// Counters returns the last logged counters, or nil if none were logged.
 func (p *Process) Counters() map[string]float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return maps.Clone(p.counters)
 }
 
-// CountersSettled tells whether it has logged its counters, or no longer serves and may never do so.
+// CountersSettled reports whether the process has logged its counters, or is not serving and may never log them.
 func (p *Process) CountersSettled() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/lab/process/process.go
+++ b/lab/process/process.go
@@ -1,5 +1,5 @@
-// Package process starts the program's nodes as operating system processes, follows their logs, and ends them; none
-// outlives the program that started it. Which nodes there are, and their configuration, is left to the callers.
+// Package process starts the program's nodes as operating system processes, reads their logs and stops them. The kernel
+// kills the processes when the program that started them ends. Callers provide the configuration of each node.
 package process
 
 import (
@@ -13,30 +13,30 @@
 	"time"
 )
 
-// killTimeout bounds the wait for a killed process, which may hang in the kernel.
+// killTimeout is the maximum wait for the exit of a killed process, which may hang in the kernel.
 const killTimeout = 10 * time.Second
 
-// Process is one run of a node. Its methods may be called from any goroutine.
+// Process is a running or exited process of a node. Its methods are safe for concurrent use.
 type Process struct {
-	Node      int           // the node's index
+	Node      int           // index of the node
 	Exited    chan struct{} // closed once the process has exited
-	Listening chan struct{} // closed once it accepts clients
-	Ready     chan struct{} // closed once it has answered PONG, by the goroutine that sends it PING
+	Listening chan struct{} // closed once the process accepts clients
+	Ready     chan struct{} // closed by the caller that sends PING, once it receives PONG
 	cmd       *exec.Cmd
-	config    *os.File // read again by the process on SIGHUP
+	config    *os.File // the process reads it again on SIGHUP
 
 	mu            sync.Mutex
 	addr          string
 	counters      map[string]float64
-	lines         []string // the last ones of its log
-	crash         []string // the log from the beginning of a crash report
+	lastLines     []string // first line and last lines of the log
+	crashLines    []string // lines of the log from the beginning of a crash report
 	serving       bool
-	stopRequested bool          // by Stop or Kill
-	logPauses     int           // callers that have paused the log
-	logResumed    chan struct{} // closed when the last pause ends
+	stopRequested bool          // Stop or Kill was called
+	logPauses     int           // number of pauses in effect
+	logResumed    chan struct{} // closed when the last pause has ended
 }
 
-// Address returns where the process accepts clients, and whether it does so now.
+// Address returns the address at which the process accepts clients, and reports whether it is accepting them.
 func (p *Process) Address() (addr string, serving bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -44,30 +44,30 @@
 }
 
 // Signal sends the process a signal.
-func (p *Process) Signal(s syscall.Signal) { p.cmd.Process.Signal(s) }
+func (p *Process) Signal(signal syscall.Signal) { p.cmd.Process.Signal(signal) }
 
-// Reload replaces the configuration and sends SIGHUP.
+// Reload replaces the configuration and sends SIGHUP to the process.
 func (p *Process) Reload(config map[string]any) error {
-	text, err := json.Marshal(config)
+	data, err := json.Marshal(config)
 	if err != nil {
 		return err
 	}
-	if _, err := p.config.WriteAt(text, 0); err != nil {
+	if _, err := p.config.WriteAt(data, 0); err != nil {
 		return err
 	}
-	if err := p.config.Truncate(int64(len(text))); err != nil {
+	if err := p.config.Truncate(int64(len(data))); err != nil {
 		return err
 	}
 	p.Signal(syscall.SIGHUP)
 	return nil
 }
 
-// Stop sends SIGTERM. From now on the process counts as not serving, so that it gets no new clients.
+// Stop sends SIGTERM. From then on Address reports that the process is not serving, so that no new clients connect.
 func (p *Process) Stop() {
 	p.requestStop(syscall.SIGTERM)
 }
 
-// Kill sends SIGKILL and waits for the exit, at most killTimeout. It tells whether that signal ended the process.
+// Kill sends SIGKILL and waits for the exit for at most killTimeout. It reports whether SIGKILL ended the process.
 func (p *Process) Kill() bool {
 	p.requestStop(syscall.SIGKILL)
 	select {
@@ -79,25 +79,25 @@
 	return ok && status.Signaled() && status.Signal() == syscall.SIGKILL
 }
 
-func (p *Process) requestStop(s syscall.Signal) {
+func (p *Process) requestStop(signal syscall.Signal) {
 	p.mu.Lock()
 	p.serving, p.stopRequested = false, true
 	p.mu.Unlock()
-	p.Signal(s)
+	p.Signal(signal)
 }
 
-// StopRequested tells whether Stop or Kill was called.
+// StopRequested reports whether Stop or Kill was called.
 func (p *Process) StopRequested() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.stopRequested
 }
 
-// Suspended tells whether the kernel has the process stopped, as after SIGSTOP.
+// Suspended reports whether the process is suspended by a signal such as SIGSTOP.
 func (p *Process) Suspended() bool {
-	data, err := os.ReadFile("/proc/" + strconv.Itoa(p.PID()) + "/stat")
-	_, after, found := bytes.Cut(data, []byte(") "))
-	return err == nil && found && len(after) > 0 && after[0] == 'T'
+	stat, err := os.ReadFile("/proc/" + strconv.Itoa(p.PID()) + "/stat")
+	_, fields, found := bytes.Cut(stat, []byte(") "))
+	return err == nil && found && len(fields) > 0 && fields[0] == 'T'
 }
 
 // PID returns the process ID.
--- a/lab/process/starter.go
+++ b/lab/process/starter.go
@@ -9,32 +9,33 @@
 	"time"
 )
 
-// logDrainTimeout bounds the wait for the rest of an exited process's log, which may be paused.
+// logDrainTimeout is the maximum wait for the rest of an exited process's log, the reading of which may be paused.
 const logDrainTimeout = time.Second
 
-// LogHandler is called for each line of a process's log, nil for one that is not JSON, in the goroutine that reads it.
+// LogHandler is called for each line of a process's log, in the goroutine that reads the log. The line is nil if it is
+// not a JSON object.
 type LogHandler func(p *Process, line map[string]any)
 
-// Starter starts processes that the kernel kills when this program ends. The kernel sends that signal when the thread
-// that started a process ends, so one thread, which lives as long as the Starter, starts all of them.
+// Starter starts processes that the kernel kills when this program ends. The kernel kills a process when the thread
+// that started it ends, so a single thread, which runs until Close, starts all processes of a Starter.
 type Starter struct{ jobs chan func() }
 
-// NewStarter returns a Starter; Close ends it.
+// NewStarter returns a Starter. It must be closed with Close.
 func NewStarter() *Starter {
-	s := &Starter{make(chan func())}
+	starter := &Starter{make(chan func())}
 	go func() {
 		runtime.LockOSThread()
-		for job := range s.jobs {
+		for job := range starter.jobs {
 			job()
 		}
 	}()
-	return s
+	return starter
 }
 
-// Close ends the Starter's thread, and with it the processes that it started.
+// Close ends the Starter's thread, which makes the kernel kill the processes that it started.
 func (s *Starter) Close() { close(s.jobs) }
 
-// StartCommand starts a command that is killed when the Starter ends. It replaces the command's SysProcAttr.
+// StartCommand starts a command whose process is killed when the Starter is closed. It replaces cmd.SysProcAttr.
 func (s *Starter) StartCommand(cmd *exec.Cmd) error {
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	done := make(chan error, 1)
@@ -42,21 +43,21 @@
 	return <-done
 }
 
-// StartNode runs the program as a node. The configuration is an unlinked temporary file, passed as descriptor 3. Where
-// prepare is not nil it may change the command before it is started.
+// StartNode starts the program as a node. The configuration is passed in an unlinked temporary file as descriptor 3. If
+// prepare is not nil, it is called to modify the command before the start.
 func (s *Starter) StartNode(
 	binary string, node int, config map[string]any, prepare func(*exec.Cmd), handle LogHandler,
 ) (*Process, error) {
-	file, err := os.CreateTemp("", "rig")
+	file, err := os.CreateTemp("", "node-config")
 	if err != nil {
 		return nil, err
 	}
 	os.Remove(file.Name())
-	p, err := s.startNode(binary, node, file, config, prepare, handle)
+	process, err := s.startNode(binary, node, file, config, prepare, handle)
 	if err != nil {
 		file.Close()
 	}
-	return p, err
+	return process, err
 }
 
 func (s *Starter) startNode(
@@ -76,7 +77,7 @@
 		return nil, err
 	}
 	cmd.Stderr = logWriter
-	p := &Process{
+	process := &Process{
 		Node: node, cmd: cmd, config: file,
 		Exited: make(chan struct{}), Listening: make(chan struct{}), Ready: make(chan struct{}),
 	}
@@ -88,15 +89,15 @@
 	}
 	logDone := make(chan struct{})
 	go func() {
-		p.readLog(logReader, handle)
+		process.readLog(logReader, handle)
 		logReader.Close()
 		close(logDone)
 	}()
-	go p.awaitExit(logDone)
-	return p, nil
+	go process.awaitExit(logDone)
+	return process, nil
 }
 
-// awaitExit reaps the process and closes Exited once its log is read.
+// awaitExit waits for the process to exit, and closes Exited once its log is read or after logDrainTimeout.
 func (p *Process) awaitExit(logDone <-chan struct{}) {
 	p.cmd.Wait()
 	p.config.Close()
--- a/lab/process/usage.go
+++ b/lab/process/usage.go
@@ -10,24 +10,24 @@
 	"time"
 )
 
-// cpuTick is the kernel's unit of CPU time in /proc.
+// cpuTick is the unit of CPU times in /proc.
 const cpuTick = 10 * time.Millisecond
 
-// Fields of /proc/PID/stat after the command, by index.
+// Indexes of fields in /proc/PID/stat, counted after the command name.
 const (
 	userTicks   = 11
 	systemTicks = 12
 )
 
-// Usage is what a process uses, as the kernel reports it. What can't be read is 0.
+// Usage holds the resources used by a process, as reported by the kernel. Values that cannot be read are 0.
 type Usage struct {
-	CPU         time.Duration // in user and system mode, in steps of cpuTick
-	Resident    float64       // bytes of memory now
-	Peak        float64       // bytes of memory at most so far
-	Descriptors int
+	CPU         time.Duration // user and system time, in steps of cpuTick
+	Resident    float64       // current resident memory in bytes
+	Peak        float64       // maximum resident memory so far in bytes
+	Descriptors int           // open file descriptors
 }
 
-// ReadUsage reads the usage of a process by its ID, or by "self".
+// ReadUsage returns the usage of a process. pid is its ID, or "self" for the current process.
 func ReadUsage(pid string) Usage {
 	dir := "/proc/" + pid
 	usage := Usage{CPU: readCPU(dir), Resident: readResident(dir), Peak: readPeak(dir)}
@@ -39,8 +39,8 @@
 
 func readCPU(dir string) (total time.Duration) {
 	data, _ := os.ReadFile(dir + "/stat")
-	_, after, _ := bytes.Cut(data, []byte(") "))
-	fields := bytes.Fields(after)
+	_, afterCommand, _ := bytes.Cut(data, []byte(") "))
+	fields := bytes.Fields(afterCommand)
 	for _, index := range []int{userTicks, systemTicks} {
 		if index < len(fields) {
 			ticks, _ := strconv.ParseInt(string(fields[index]), 10, 64)
@@ -71,17 +71,17 @@
 	return peak
 }
 
-// RaiseDescriptorLimit raises this process's limit of open descriptors as far as allowed. It returns an error where
-// that is fewer than needed.
+// RaiseDescriptorLimit raises this process's limit of open file descriptors to the maximum allowed. It returns an error
+// if that is less than needed.
 func RaiseDescriptorLimit(needed int) error {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
-		return nil // the limit is unknown, and may suffice
+		return nil // the limit is unknown and may be sufficient
 	}
 	limit.Cur = limit.Max
 	syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit)
 	if uint64(needed) > limit.Cur {
-		return fmt.Errorf("%d descriptors are wanted, %d are allowed", needed, limit.Cur)
+		return fmt.Errorf("%d file descriptors are needed, limit is %d", needed, limit.Cur)
 	}
 	return nil
 }
