--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -1,5 +1,5 @@
-// Package scenario reads the laboratory's scenario files (TOML): embedded ones by name, others by path. What a scenario
-// holds and which values are valid is its type's concern, in the packages that play it.
+// Package scenario reads scenario files in TOML, either embedded files by name or other files by path. The packages
+// that run scenarios define their types and validate their values.
 package scenario
 
 import (
@@ -16,38 +16,39 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Duration is a time.Duration whose text form is that of time.ParseDuration, such as "1.5s".
+// Duration is a time.Duration whose text form is that of time.ParseDuration, for example "1.5s".
 type Duration time.Duration
 
-// UnmarshalText parses the text form.
+// UnmarshalText parses the text form of a duration.
 func (d *Duration) UnmarshalText(text []byte) error {
 	value, err := time.ParseDuration(string(text))
 	*d = Duration(value)
 	return err
 }
 
-// MarshalText returns the text form.
+// MarshalText returns the text form of a duration.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// Validator is a scenario that checks its own values once they are decoded.
+// Validator is implemented by the types of scenarios. Check validates the values after decoding.
 type Validator interface{ Check() error }
 
-// EmbeddedNames lists the scenarios in the folder "scenarios" of an embedded file system, without their suffix.
+// EmbeddedNames returns the names of the scenarios in the directory "scenarios" of an embedded file system, without the
+// suffix ".toml".
 func EmbeddedNames(embedded embed.FS) (names []string) {
 	files, _ := fs.Glob(embedded, "scenarios/*.toml")
-	for _, f := range files {
-		names = append(names, strings.TrimSuffix(path.Base(f), ".toml"))
+	for _, file := range files {
+		names = append(names, strings.TrimSuffix(path.Base(file), ".toml"))
 	}
 	return names
 }
 
-// Load parses an embedded scenario by its name, or else the file at that path. Errors name the scenario.
+// Load parses the embedded scenario with a name or, if there is none, the file at that path. Errors name the scenario.
 func Load(embedded embed.FS, name string, target Validator) error {
 	data, err := embedded.ReadFile("scenarios/" + name + ".toml")
 	if err != nil {
 		if data, err = os.ReadFile(name); err != nil {
-			known := strings.Join(EmbeddedNames(embedded), ", ")
-			return fmt.Errorf("%q is neither a file nor one of %s: %w", name, known, err)
+			names := strings.Join(EmbeddedNames(embedded), ", ")
+			return fmt.Errorf("%q is neither a file nor one of %s: %w", name, names, err)
 		}
 	}
 	if err := Parse(data, target); err != nil {
@@ -56,19 +57,20 @@
 	return nil
 }
 
-// Parse decodes a scenario into target and checks it. An unknown key or an invalid value is reported with its line.
+// Parse decodes a scenario into target and validates it. Errors about an unknown key or a malformed value name the
+// line.
 func Parse(data []byte, target Validator) error {
 	decoder := toml.NewDecoder(bytes.NewReader(data)).DisallowUnknownFields()
 	err := decoder.Decode(target)
-	var unknown *toml.StrictMissingError
+	var unknownKeys *toml.StrictMissingError
 	var malformed *toml.DecodeError
 	switch {
-	case errors.As(err, &unknown):
-		row, _ := unknown.Errors[0].Position()
-		return fmt.Errorf("line %d: no such key: %s", row, strings.Join(unknown.Errors[0].Key(), "."))
+	case errors.As(err, &unknownKeys):
+		line, _ := unknownKeys.Errors[0].Position()
+		return fmt.Errorf("line %d: no such key: %s", line, strings.Join(unknownKeys.Errors[0].Key(), "."))
 	case errors.As(err, &malformed):
-		row, _ := malformed.Position()
-		return fmt.Errorf("line %d: %w", row, err)
+		line, _ := malformed.Position()
+		return fmt.Errorf("line %d: %w", line, err)
 	case err != nil:
 		return err
 	}
