--- a/lab/scaling/golden_test.go
+++ b/lab/scaling/golden_test.go
@@ -11,21 +11,22 @@
 	"testing"
 )
 
-// Keys and values of the JSON form, and predictions, are those of a recorded file for each kind of growth.
-func TestGolden(t *testing.T) {
-	var text strings.Builder
-	for i, form := range []func(float64) float64{
+// Guards against changes of the result format and the fits: for each class of growth, the keys and values of the JSON
+// form and the predictions must match a recorded file.
+func TestFitModelMatchesGoldenFile(t *testing.T) {
+	var output strings.Builder
+	for i, growth := range []func(float64) float64{
 		func(float64) float64 { return 60 },
 		func(n float64) float64 { return 30 + 0.25*n },
 		func(n float64) float64 { return 30 + 1e-4*n*n },
 		func(n float64) float64 { return 3 * math.Sqrt(n) },
 		func(float64) float64 { return 0 },
 	} {
-		f, err := FitModel(noisy(uint64(i), 0.02, form))
+		model, err := FitModel(noisyPoints(uint64(i), 0.02, growth))
 		if err != nil {
 			t.Fatal(err)
 		}
-		data, err := json.Marshal(f)
+		data, err := json.Marshal(model)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -35,24 +36,24 @@
 		}
 		for _, key := range slices.Sorted(maps.Keys(values)) {
 			if number, ok := values[key].(float64); ok {
-				fmt.Fprintf(&text, "%s=%.6g ", key, number)
+				fmt.Fprintf(&output, "%s=%.6g ", key, number)
 			} else {
-				fmt.Fprintf(&text, "%s=%v ", key, values[key])
+				fmt.Fprintf(&output, "%s=%v ", key, values[key])
 			}
 		}
-		y, low, high := f.Predict(8000)
-		fmt.Fprintf(&text, "at 8000: %.6g %.6g %.6g\n", y, low, high)
+		value, low, high := model.Predict(8000)
+		fmt.Fprintf(&output, "at 8000: %.6g %.6g %.6g\n", value, low, high)
 	}
 	for _, points := range [][]Point{
 		{{0, 1}}, {{1, 1}, {2, 2}}, {{1e9, 1}, {1e9 + 1e-6, 1}, {1e9 + 2e-6, 1}, {1e9, 2}},
 	} {
 		_, err := FitModel(points)
-		fmt.Fprintln(&text, err)
+		fmt.Fprintln(&output, err)
 	}
 	data, err := json.Marshal(Point{2, 3})
-	fmt.Fprintln(&text, string(data), err)
+	fmt.Fprintln(&output, string(data), err)
 	want, err := os.ReadFile("testdata/golden.txt")
-	if err != nil || text.String() != string(want) {
-		t.Errorf("%v, got:\n%s", err, &text)
+	if err != nil || output.String() != string(want) {
+		t.Errorf("%v, got:\n%s", err, &output)
 	}
 }
--- a/lab/scaling/polynomial.go
+++ b/lab/scaling/polynomial.go
@@ -8,14 +8,15 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// polynomial is fitted by weighted least squares.
+// polynomial is a polynomial that was fitted by weighted least squares.
 type polynomial struct {
-	coefficients []float64
-	covariance   *mat.Dense // of the coefficients, over the square of the deviation
+	coefficients []float64  // by power of x
+	covariance   *mat.Dense // covariance of the coefficients, divided by the square of the deviation
 	deviation    float64    // standard deviation of a point of weight 1
-	quantile     float64    // of Student's distribution, for the degrees of freedom
+	quantile     float64    // quantile of Student's t-distribution for the degrees of freedom
 }
 
+// fitPolynomial fits a polynomial of a degree to the points (x, y) with the given weights.
 func fitPolynomial(x, y, weights []float64, degree int) (polynomial, error) {
 	design, observed := mat.NewDense(len(x), degree+1, nil), mat.NewVecDense(len(x), nil)
 	for i := range x {
@@ -52,12 +53,13 @@
 	return y
 }
 
-// coefficientMargin is half of the 95% interval of a coefficient.
+// coefficientMargin returns half of the width of the 95% interval of a coefficient.
 func (p polynomial) coefficientMargin(power int) float64 {
 	return p.quantile * p.deviation * math.Sqrt(p.covariance.At(power, power))
 }
 
-// predictionMargin is half of the 95% interval of one more point, whose error is proportional to its value.
+// predictionMargin returns half of the width of the 95% interval of a new point at x. The error of the point is taken
+// to be proportional to its value.
 func (p polynomial) predictionMargin(x float64) float64 {
 	powers := mat.NewVecDense(len(p.coefficients), nil)
 	for power := range p.coefficients {
