--- a/lab/shim/shim.go
+++ b/lab/shim/shim.go
@@ -1,6 +1,6 @@
-// Package shim injects faults of the machine into processes of the program: an offset of the wall clock, and system
-// calls that fail. A small library, compiled when it is first needed, is loaded into each process by LD_PRELOAD. It
-// touches nothing else on the machine and needs no special rights. When which fault begins is left to the callers.
+// Package shim injects faults of the operating system into processes of the program: an offset of the wall clock and
+// failing system calls. A small library, compiled by Build, is loaded into each process with LD_PRELOAD. It affects
+// only these processes and requires no privileges. Callers decide when faults start and end.
 package shim
 
 import (
@@ -22,10 +22,10 @@
 //go:embed preload/shim.c
 var source []byte
 
-// Library is the compiled library, in a temporary folder of its own.
+// Library is the compiled library in a temporary directory.
 type Library struct{ dir string }
 
-// Build compiles the library with the C compiler cc. Remove deletes it.
+// Build compiles the library with the C compiler cc. The library must be deleted with Remove.
 func Build() (*Library, error) {
 	dir, err := os.MkdirTemp("", "shim")
 	if err != nil {
@@ -37,29 +37,29 @@
 		l.Remove()
 		return nil, err
 	}
-	if out, err := exec.Command("cc", "-shared", "-fPIC", "-O1", "-o", l.path(), file).CombinedOutput(); err != nil {
+	if output, err := exec.Command("cc", "-shared", "-fPIC", "-O1", "-o", l.path(), file).CombinedOutput(); err != nil {
 		l.Remove()
-		return nil, fmt.Errorf("the shim is not compiled: %w: %s", err, out)
+		return nil, fmt.Errorf("compiling the shim: %w: %s", err, output)
 	}
 	return l, nil
 }
 
 func (l *Library) path() string { return filepath.Join(l.dir, "shim.so") }
 
-// Remove deletes the file. Processes that have loaded it are not affected.
+// Remove deletes the library. Processes that have loaded it are not affected.
 func (l *Library) Remove() { os.RemoveAll(l.dir) }
 
-// Call is the number of a system call that can be made to fail.
+// Call is the number of a system call that the shim can cause to fail.
 type Call int
 
-// The calls, by their numbers on x86-64.
+// System calls, with their numbers on x86-64.
 const (
 	Accept  Call = syscall.SYS_ACCEPT4
 	Socket  Call = syscall.SYS_SOCKET
 	Connect Call = syscall.SYS_CONNECT
 )
 
-// TransientErrors are the errors that a call may return for a short time, by its manual page.
+// TransientErrors holds the errors of each call that may be temporary, according to its manual page.
 var TransientErrors = map[Call][]syscall.Errno{
 	Accept: {
 		syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO,
@@ -72,30 +72,31 @@
 	},
 }
 
-// offsetBytes is the size of the clock offset that the process maps.
+// offsetBytes is the size of the clock offset in the shared mapping.
 const offsetBytes = 8
 
-// Shim controls the faults of one process. Its methods may be called from any goroutine.
+// Shim controls the faults of one process. Its methods are safe for concurrent use.
 type Shim struct {
-	clock       *os.File // holds the offset of the wall clock; mapped by the process
-	offset      []byte   // the mapped file
-	childSocket *os.File // the process's end of the socket pair, until the process has started
-	socket      *os.File // this end, on which the process sends its seccomp listener
+	clock       *os.File // file with the offset of the wall clock, which the process maps
+	offset      []byte   // mapping of the file in this program
+	childSocket *os.File // the process's end of a socket pair; closed here once the process has started
+	socket      *os.File // this program's end, on which the process sends its seccomp listener
 
 	mu          sync.Mutex
 	rng         *rand.Rand
 	probability map[Call]float64
 
-	FailedCalls atomic.Int64 // system calls that were made to fail
+	FailedCalls atomic.Int64 // system calls that failed because of the shim
 }
 
-// NewShim returns a Shim for a process that is about to start. The seed determines which calls fail, and how.
+// NewShim returns a Shim for a process that is about to start. The seed determines which calls fail, and with which
+// errors.
 func (l *Library) NewShim(seed uint64) (*Shim, error) {
-	ends, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
+	sockets, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, err
 	}
-	s := &Shim{socket: os.NewFile(uintptr(ends[0]), "shim"), childSocket: os.NewFile(uintptr(ends[1]), "shim"),
+	s := &Shim{socket: os.NewFile(uintptr(sockets[0]), "shim"), childSocket: os.NewFile(uintptr(sockets[1]), "shim"),
 		rng: rand.New(rand.NewPCG(seed, 2)), probability: map[Call]float64{}}
 	if s.clock, err = os.CreateTemp(l.dir, "clock"); err == nil {
 		os.Remove(s.clock.Name())
@@ -112,14 +113,15 @@
 	return s, nil
 }
 
-// Prepare makes a command that has not started load the library. It keeps the first extra file, descriptor 3, and
-// replaces the others.
+// Prepare modifies a command that has not started so that its process loads the library. It keeps the first of
+// cmd.ExtraFiles, descriptor 3, and replaces the others.
 func (l *Library) Prepare(s *Shim, cmd *exec.Cmd) {
-	cmd.ExtraFiles = append(cmd.ExtraFiles[:1:1], s.clock, s.childSocket) // descriptors 4 and 5: see preload/shim.c
+	cmd.ExtraFiles = append(cmd.ExtraFiles[:1:1], s.clock, s.childSocket) // descriptors 4 and 5; see preload/shim.c
 	cmd.Env = append(cmd.Env, "LD_PRELOAD="+l.path())
 }
 
-// Serve decides the process's system calls until it ends. It is called once, after the process has started.
+// Serve answers the notifications of the process's system calls until the process ends. It must be called once, after
+// the process has started.
 func (s *Shim) Serve() error {
 	s.closeChildFiles()
 	defer s.socket.Close()
@@ -131,7 +133,7 @@
 	for {
 		switch err := s.answerCall(listener); {
 		case err == nil, errors.Is(err, syscall.EINTR):
-		case errors.Is(err, syscall.ENOENT): // the call was interrupted and is repeated, or the process has ended
+		case errors.Is(err, syscall.ENOENT): // the call was interrupted and will be repeated, or the process has ended
 			if isHungUp(listener) {
 				return nil
 			}
@@ -141,17 +143,18 @@
 	}
 }
 
-// isHungUp tells whether no process has the filter any more.
+// isHungUp reports whether no process uses the seccomp filter any more.
 func isHungUp(listener int) bool {
 	const pollHangUp = 0x10
-	p := struct {
+	pollFD := struct {
 		fd              int32
 		events, revents int16
 	}{fd: int32(listener)}
-	_, _, errno := syscall.Syscall(syscall.SYS_POLL, uintptr(unsafe.Pointer(&p)), 1, 0)
-	return errno == 0 && p.revents&pollHangUp != 0
+	_, _, errno := syscall.Syscall(syscall.SYS_POLL, uintptr(unsafe.Pointer(&pollFD)), 1, 0)
+	return errno == 0 && pollFD.revents&pollHangUp != 0
 }
 
+// closeChildFiles closes this program's copies of the files that the process inherits.
 func (s *Shim) closeChildFiles() {
 	s.childSocket.Close()
 	if s.clock != nil {
@@ -159,29 +162,30 @@
 	}
 }
 
-// receiveListener receives the descriptor on which the kernel reports the process's calls.
+// receiveListener receives the descriptor of the seccomp listener, on which the kernel reports the process's system
+// calls.
 func (s *Shim) receiveListener() (int, error) {
-	text, rights := make([]byte, 1), make([]byte, syscall.CmsgSpace(4))
+	data, rights := make([]byte, 1), make([]byte, syscall.CmsgSpace(4))
 	for {
-		_, n, _, _, err := syscall.Recvmsg(int(s.socket.Fd()), text, rights, syscall.MSG_CMSG_CLOEXEC)
+		_, size, _, _, err := syscall.Recvmsg(int(s.socket.Fd()), data, rights, syscall.MSG_CMSG_CLOEXEC)
 		if err == syscall.EINTR {
 			continue
 		} else if err != nil {
 			return -1, err
 		}
-		messages, err := syscall.ParseSocketControlMessage(rights[:n])
+		messages, err := syscall.ParseSocketControlMessage(rights[:size])
 		if err != nil || len(messages) != 1 {
-			return -1, fmt.Errorf("the process has not loaded the shim: %v", err)
+			return -1, fmt.Errorf("process has not loaded the shim: %v", err)
 		}
 		descriptors, err := syscall.ParseUnixRights(&messages[0])
 		if err != nil || len(descriptors) != 1 {
-			return -1, fmt.Errorf("the shim sent no descriptor: %v", err)
+			return -1, fmt.Errorf("shim has sent no descriptor: %v", err)
 		}
 		return descriptors[0], nil
 	}
 }
 
-// notification and response are the kernel's struct seccomp_notif and seccomp_notif_resp (seccomp_unotify(2)).
+// notification is the kernel's struct seccomp_notif; see seccomp_unotify(2).
 type notification struct {
 	id     uint64
 	pid    uint32
@@ -192,6 +196,7 @@
 	args   [6]uint64
 }
 
+// response is the kernel's struct seccomp_notif_resp.
 type response struct {
 	id    uint64
 	value int64
@@ -199,24 +204,25 @@
 	flags uint32
 }
 
+// Constants of seccomp_unotify(2).
 const (
 	notifyReceive  = 0xc0502100 // SECCOMP_IOCTL_NOTIF_RECV
 	notifySend     = 0xc0182101 // SECCOMP_IOCTL_NOTIF_SEND
 	notifyContinue = 1          // SECCOMP_USER_NOTIF_FLAG_CONTINUE
 )
 
-// answerCall lets one system call continue, or fail.
+// answerCall receives the notification of one system call, and lets the call continue or fail.
 func (s *Shim) answerCall(listener int) error {
-	var n notification
-	if err := ioctl(listener, notifyReceive, unsafe.Pointer(&n)); err != nil {
+	var call notification
+	if err := ioctl(listener, notifyReceive, unsafe.Pointer(&call)); err != nil {
 		return err
 	}
-	r := response{id: n.id, flags: notifyContinue}
-	if errno := s.selectError(Call(n.number)); errno != 0 {
+	reply := response{id: call.id, flags: notifyContinue}
+	if errno := s.selectError(Call(call.number)); errno != 0 {
 		s.FailedCalls.Add(1)
-		r = response{id: n.id, error: -int32(errno)}
+		reply = response{id: call.id, error: -int32(errno)}
 	}
-	return ioctl(listener, notifySend, unsafe.Pointer(&r))
+	return ioctl(listener, notifySend, unsafe.Pointer(&reply))
 }
 
 func ioctl(descriptor int, request uintptr, argument unsafe.Pointer) error {
@@ -227,25 +233,25 @@
 	return nil
 }
 
-// selectError returns the error with which a call is to fail; 0 for none.
+// selectError returns the error with which a call fails, or 0 if it does not fail.
 func (s *Shim) selectError(call Call) syscall.Errno {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.rng.Float64() >= s.probability[call] {
 		return 0
 	}
-	all := TransientErrors[call]
-	return all[s.rng.IntN(len(all))]
+	errnos := TransientErrors[call]
+	return errnos[s.rng.IntN(len(errnos))]
 }
 
-// SetFailureProbability sets how likely a system call of the process fails from now on, from 0 to 1.
+// SetFailureProbability sets the probability, from 0 to 1, that a system call of the process fails.
 func (s *Shim) SetFailureProbability(call Call, probability float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.probability[call] = probability
 }
 
-// SetClockOffset sets the offset of the process's wall clock from now on. The monotonic clock is not changed.
+// SetClockOffset sets the offset of the process's wall clock. The monotonic clock is not affected.
 func (s *Shim) SetClockOffset(offset time.Duration) {
 	atomic.StoreInt64((*int64)(unsafe.Pointer(&s.offset[0])), int64(offset))
 }
--- a/lab/shim/shim_test.go
+++ b/lab/shim/shim_test.go
@@ -13,20 +13,20 @@
 	"time"
 )
 
-// TestMain runs the tests, or, where the environment says so, is the child process: for each line of input it prints
-// its clocks and the error of a system call.
+// TestMain runs the tests. If SHIM_TEST_PROCESS is set, it is the main function of the child process instead, which
+// prints its clocks and the error of a system call for each line of input.
 func TestMain(m *testing.M) {
 	if os.Getenv("SHIM_TEST_PROCESS") == "" {
 		os.Exit(m.Run())
 	}
-	begun := time.Now()
+	start := time.Now()
 	for in := bufio.NewScanner(os.Stdin); in.Scan(); {
 		_, err := net.Listen("tcp", "127.0.0.1:0")
-		fmt.Println(time.Now().UnixNano(), int64(time.Since(begun)), err)
+		fmt.Println(time.Now().UnixNano(), int64(time.Since(start)), err)
 	}
 }
 
-// childProcess runs under a shim.
+// childProcess is a process of the test binary with a shim.
 type childProcess struct {
 	t    *testing.T
 	shim *Shim
@@ -34,6 +34,7 @@
 	out  *bufio.Scanner
 }
 
+// startChild starts a child process, which is stopped at the end of the test.
 func startChild(t *testing.T) *childProcess {
 	t.Helper()
 	library, err := Build()
@@ -45,14 +46,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	configuration, err := os.Open(os.DevNull)
+	config, err := os.Open(os.DevNull)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer configuration.Close()
+	defer config.Close()
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "SHIM_TEST_PROCESS=1")
-	cmd.ExtraFiles, cmd.Stderr = []*os.File{configuration}, os.Stderr
+	cmd.ExtraFiles, cmd.Stderr = []*os.File{config}, os.Stderr
 	library.Prepare(shim, cmd)
 	in, _ := cmd.StdinPipe()
 	out, _ := cmd.StdoutPipe()
@@ -70,68 +71,68 @@
 				t.Error(err)
 			}
 		case <-time.After(10 * time.Second):
-			t.Error("the shim outlives its process")
+			t.Error("Serve has not returned after the end of the process")
 		}
 	})
 	return &childProcess{t, shim, in, bufio.NewScanner(out)}
 }
 
-// query returns the offset of the child's wall clock, its monotonic clock, and the error of a call of socket.
-func (p *childProcess) query() (off, steady time.Duration, failed string) {
+// query returns the offset of the child's wall clock, its monotonic clock, and the error of a socket system call.
+func (p *childProcess) query() (offset, monotonic time.Duration, callErr string) {
 	p.t.Helper()
 	fmt.Fprintln(p.in)
 	if !p.out.Scan() {
-		p.t.Fatal("the process has ended")
+		p.t.Fatal("child process has ended")
 	}
 	var wall, elapsed int64
 	fmt.Sscan(p.out.Text(), &wall, &elapsed)
-	_, failed, _ = strings.Cut(p.out.Text(), " ")
-	_, failed, _ = strings.Cut(failed, " ")
-	return time.Duration(wall - time.Now().UnixNano()), time.Duration(elapsed), failed
+	_, callErr, _ = strings.Cut(p.out.Text(), " ")
+	_, callErr, _ = strings.Cut(callErr, " ")
+	return time.Duration(wall - time.Now().UnixNano()), time.Duration(elapsed), callErr
 }
 
-func TestClockOffsetMovesTheWallClockOnly(t *testing.T) {
-	p := startChild(t)
-	_, before, _ := p.query()
-	for _, step := range []time.Duration{0, time.Hour, -time.Hour, 2 * time.Second, 0} {
-		p.shim.SetClockOffset(step)
-		off, steady, _ := p.query()
-		if (off-step).Abs() > 500*time.Millisecond || p.shim.ClockOffset() != step {
-			t.Errorf("stepped by %v, the wall clock is off by %v", step, off)
+func TestClockOffsetShiftsWallClockOnly(t *testing.T) {
+	child := startChild(t)
+	_, before, _ := child.query()
+	for _, offset := range []time.Duration{0, time.Hour, -time.Hour, 2 * time.Second, 0} {
+		child.shim.SetClockOffset(offset)
+		actual, monotonic, _ := child.query()
+		if (actual-offset).Abs() > 500*time.Millisecond || child.shim.ClockOffset() != offset {
+			t.Errorf("offset %v: got a wall clock offset of %v", offset, actual)
 		}
-		if steady < before || steady > before+10*time.Second {
-			t.Errorf("stepped by %v, the steady clock went from %v to %v", step, before, steady)
+		if monotonic < before || monotonic > before+10*time.Second {
+			t.Errorf("offset %v: monotonic clock went from %v to %v", offset, before, monotonic)
 		}
-		before = steady
+		before = monotonic
 	}
 }
 
-func TestCallsFailByProbability(t *testing.T) {
-	p := startChild(t)
-	if _, _, failed := p.query(); failed != "<nil>" {
-		t.Errorf("got %s before any fault", failed)
+func TestCallsFailWithProbability(t *testing.T) {
+	child := startChild(t)
+	if _, _, callErr := child.query(); callErr != "<nil>" {
+		t.Errorf("got error %s before the fault", callErr)
 	}
-	p.shim.SetFailureProbability(Socket, 1)
-	if _, _, failed := p.query(); failed == "<nil>" {
-		t.Error("socket does not fail")
+	child.shim.SetFailureProbability(Socket, 1)
+	if _, _, callErr := child.query(); callErr == "<nil>" {
+		t.Error("got no error during the fault")
 	}
-	if p.shim.FailedCalls.Load() == 0 {
-		t.Error("no failure is counted")
+	if child.shim.FailedCalls.Load() == 0 {
+		t.Error("failed calls are not counted")
 	}
-	p.shim.SetFailureProbability(Socket, 0)
-	if _, _, failed := p.query(); failed != "<nil>" {
-		t.Errorf("got %s after the fault", failed)
+	child.shim.SetFailureProbability(Socket, 0)
+	if _, _, callErr := child.query(); callErr != "<nil>" {
+		t.Errorf("got error %s after the fault", callErr)
 	}
 }
 
-func TestEachCallHasTransientErrors(t *testing.T) {
+func TestTransientErrorsCoverAllCalls(t *testing.T) {
 	for _, call := range []Call{Accept, Socket, Connect} {
 		if len(TransientErrors[call]) == 0 {
-			t.Errorf("no errors for call %d", call)
+			t.Errorf("call %d has no transient errors", call)
 		}
 		for _, errno := range TransientErrors[call] {
 			if errno == syscall.Errno(0) {
-				t.Errorf("call %d fails with no error", call)
+				t.Errorf("call %d has the error number 0", call)
 			}
 		}
 	}
