--- a/lab/fleet/attempt.go
+++ b/lab/fleet/attempt.go
@@ -50,11 +50,11 @@
 // draining or removed.
 func (sim *simulation) checkDrainGrace(a attempt) {
 	n, serverID := a.request.node, a.server.endpoint.ID
-	seenAt, seen := n.removalSeenAt[serverID]
-	if seen && sim.now > seenAt+time.Duration(sim.scenario.Server.DrainGrace) {
+	notifiedAt, notified := n.leavingSince[serverID]
+	if notified && sim.now > notifiedAt+time.Duration(sim.scenario.Server.DrainGrace) {
 		sim.recordViolation(&sim.result.Violations.LateSends,
 			"node %d request %d: sent to server %d, notified of its drain %v ago",
-			n.index, a.request.id, serverID, (sim.now - seenAt).Round(time.Millisecond))
+			n.index, a.request.id, serverID, (sim.now - notifiedAt).Round(time.Millisecond))
 	}
 }
 
--- a/lab/fleet/client.go
+++ b/lab/fleet/client.go
@@ -87,8 +87,8 @@
 		return
 	}
 	timeout := time.Duration(sim.scenario.Clients.Deadline)
-	n.lastRequest++
-	r := &request{id: n.lastRequest, node: n, incarnation: n.incarnation, client: c, deadline: sim.now + timeout}
+	n.lastRequestID++
+	r := &request{id: n.lastRequestID, node: n, incarnation: n.incarnation, client: c, deadline: sim.now + timeout}
 	n.requests[r.id] = r
 	sim.count(counterRequests)
 	sim.schedule(timeout, func() { sim.checkAnswered(r) })
--- a/lab/fleet/discovery.go
+++ b/lab/fleet/discovery.go
@@ -60,10 +60,10 @@
 	changes := n.sim.endpointChanges[n.changesSeen:]
 	n.changesSeen = len(n.sim.endpointChanges)
 	for _, endpoint := range changes {
-		if _, seen := n.removalSeenAt[endpoint.ID]; endpoint.State == balance.Ready {
-			delete(n.removalSeenAt, endpoint.ID)
-		} else if !seen {
-			n.removalSeenAt[endpoint.ID] = n.sim.now
+		if _, notified := n.leavingSince[endpoint.ID]; endpoint.State == balance.Ready {
+			delete(n.leavingSince, endpoint.ID)
+		} else if !notified {
+			n.leavingSince[endpoint.ID] = n.sim.now
 		}
 	}
 	n.handle(balance.EndpointUpdate{Kind: balance.ListDelta, Servers: slices.Clone(changes)})
--- a/lab/fleet/faults.go
+++ b/lab/fleet/faults.go
@@ -98,7 +98,7 @@
 			}
 		}
 	}
-	for requestID := balance.RequestID(1); requestID <= n.lastRequest; requestID++ { // fixed order: reproducible draws
+	for requestID := balance.RequestID(1); requestID <= n.lastRequestID; requestID++ { // in order, for reproducibility
 		if r := n.requests[requestID]; r != nil && !r.answered {
 			r.answered, r.ended = true, true
 			sim.scheduleReconnect(r.client)
--- a/lab/fleet/node.go
+++ b/lab/fleet/node.go
@@ -20,20 +20,20 @@
 	alive         bool
 	leaving       bool // shutting down, and accepting no new clients
 	watching      bool
-	changesSeen   int     // number of simulation.endpointChanges delivered to the node
-	leases        *leases // nil with fixed quotas
-	messagesSent  int     // lease messages to other nodes
-	removalSeenAt map[balance.ServerID]time.Duration
+	changesSeen   int                                // number of simulation.endpointChanges delivered to the node
+	leases        *leases                            // nil with fixed quotas
+	messagesSent  int                                // lease messages to other nodes
+	leavingSince  map[balance.ServerID]time.Duration // when the node was notified of the drain or removal
 	requests      map[balance.RequestID]*request
-	lastRequest   balance.RequestID
+	lastRequestID balance.RequestID
 }
 
 // start begins a new incarnation, which loads the initial endpoint list as its cached list.
 func (n *node) start() {
 	sim := n.sim
 	n.incarnation++
-	n.alive, n.leaving, n.watching, n.changesSeen, n.lastRequest = true, false, false, 0, 0
-	n.removalSeenAt = map[balance.ServerID]time.Duration{}
+	n.alive, n.leaving, n.watching, n.changesSeen, n.lastRequestID = true, false, false, 0, 0
+	n.leavingSince = map[balance.ServerID]time.Duration{}
 	n.requests = map[balance.RequestID]*request{}
 	config := n.config()
 	seed := sim.random.Uint64()
@@ -52,6 +52,7 @@
 	n.handle(balance.EndpointUpdate{Kind: balance.ListCached, Servers: endpoints})
 }
 
+// config returns the configuration of the node's balancer.
 func (n *node) config() balance.Config {
 	const targetUtilization = 0.85
 	scenario := n.sim.scenario
@@ -94,6 +95,7 @@
 	})
 }
 
+// perform executes an action of the balancer.
 func (n *node) perform(a balance.Action) {
 	sim := n.sim
 	switch a := a.(type) {
--- a/lab/fleet/result.go
+++ b/lab/fleet/result.go
@@ -9,8 +9,8 @@
 type Result struct {
 	Scenario string `json:"scenario"`
 	Seed     uint64 `json:"seed"`
-	// Served is the fraction of the time for which clients wanted a connection in which they were connected to a server
-	// within its capacity.
+	// Served is the fraction of the clients' wanted connection time in which they were connected to a server within its
+	// capacity.
 	Served float64 `json:"served"`
 	// WorstWindow is the lowest value of Served over any 5 s.
 	WorstWindow float64    `json:"worst_5s"`
--- a/lab/fleet/sampling.go
+++ b/lab/fleet/sampling.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	sampleInterval = 100 * time.Millisecond // between samples of the clients' service
-	worstWindow    = 5 * time.Second        // length of the window of Result.WorstWindow
+	sampleInterval    = 100 * time.Millisecond // between samples of the clients' service
+	worstWindowLength = 5 * time.Second        // length of the window of Result.WorstWindow
 )
 
 // sampleService counts the clients that want a connection, and those connected to a server within its capacity.
@@ -69,7 +69,7 @@
 
 // worstWindow returns the lowest served fraction of any window within the first sampleCount samples.
 func (sim *simulation) worstWindow(sampleCount int) float64 {
-	const window = int(worstWindow / sampleInterval)
+	const window = int(worstWindowLength / sampleInterval)
 	worst := 1.0
 	for end := window; end <= sampleCount; end++ {
 		if wanted := sum(sim.wantedSamples[end-window : end]); wanted > 0 {
