--- a/lab/checker/checker.go
+++ b/lab/checker/checker.go
@@ -1,8 +1,8 @@
-// Package checker checks the history of a run of many nodes against the program's guarantees. Callers record what the
-// clients sent and received, what the servers received and what the list service reported, with times of a single
-// clock. They also inject the faults and record them, because the guarantees are weaker at a node with a fault. The
-// package shares no code with the program's decisions. Its results do not depend on the order in which events are
-// recorded within the configured slack.
+// Package checker checks the history of a run of many nodes against the program's guarantees. Callers record the
+// requests and answers of the clients, the attempts at the servers and the notifications by the list service, with
+// times of a single clock. They also inject the faults and record them, because the guarantees are weaker at a node
+// with a fault. The package shares no code with the program's decisions. Its results do not depend on the order in
+// which events are recorded within the configured slack.
 package checker
 
 import (
--- a/lab/fleet/digest_test.go
+++ b/lab/fleet/digest_test.go
@@ -87,7 +87,7 @@
 }
 
 // Guards against unintended changes of the nodes' decisions: results must match the stored digests byte for byte. A
-// commit that changes a digest on purpose says so.
+// commit that changes a digest on purpose must say so.
 func TestEmbeddedScenariosMatchDigests(t *testing.T) {
 	if *updateDigests {
 		writeDigests(t)
--- a/lab/fleet/scenario.go
+++ b/lab/fleet/scenario.go
@@ -1,8 +1,8 @@
 // Package fleet simulates many nodes and servers in virtual time. The nodes make their decisions with package balance
-// and use no sockets. The simulation measures what a single node cannot observe: the service that clients receive, the
-// load of the servers and violations of invariants. The package contains the scenarios, the simulated clients, servers
-// and discovery, and the comparison of results; other packages of lab run nodes on sockets and as processes. The same
-// scenario and seed produce the same result byte for byte.
+// and use no sockets. The simulation measures quantities that a single node cannot observe: the service that clients
+// receive, the load of the servers and violations of invariants. The package contains the scenarios, the simulated
+// clients, servers and discovery, and the comparison of results; other packages of lab run nodes on sockets and as
+// processes. The same scenario and seed produce the same result byte for byte.
 package fleet
 
 import (
--- a/lab/process/log_test.go
+++ b/lab/process/log_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Guards against changes of what is read from a log: the stored lines, counters, excerpts and crash report must match a
+// Guards against changes in the parsing of logs: the stored lines, counters, excerpts and crash report must match a
 // recorded file.
 func TestReadLogMatchesGoldenFile(t *testing.T) {
 	var input, output strings.Builder
