--- a/cmd/brassmux/internal/cli/scale.go
+++ b/cmd/brassmux/internal/cli/scale.go
@@ -26,8 +26,8 @@
 			"3 where the run says nothing (void). Scenarios: " + strings.Join(scale.Scenarios(), ", ") + ".",
 		Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			if flat && o.Control > 0 {
-				return fmt.Errorf("--flat: goes with no --control %d", o.Control)
+			if flat && o.ControlNodes > 0 {
+				return fmt.Errorf("--flat: goes with no --control %d", o.ControlNodes)
 			}
 			if err := o.Check(); err != nil {
 				return err
@@ -45,12 +45,13 @@
 
 func addScaleFlags(c *cobra.Command, o *scale.Options) {
 	c.Flags().IntSliceVar(&o.Nodes, "nodes", []int{300, 1000, 3000, 5700}, "sizes, hollow and real nodes together")
-	c.Flags().IntVar(&o.Real, "real", 12, "how many of them are processes that serve real clients")
+	c.Flags().IntVar(&o.RealNodes, "real", 12, "how many of them are processes that serve real clients")
 	c.Flags().Uint64Var(&o.Seed, "seed", 1, "for the nodes, their traffic and chance")
-	c.Flags().DurationVar(&o.For, "for", 30*time.Second, "how long each fleet is counted")
-	c.Flags().IntVar(&o.Control, "control", 0, "control machines beside the nodes; 0: control is flat")
+	c.Flags().DurationVar(&o.Duration, "for", 30*time.Second, "how long each fleet is counted")
+	c.Flags().IntVar(&o.ControlNodes, "control", 0, "control machines beside the nodes; 0: control is flat")
 	c.Flags().StringVar(&o.Scenario, "scenario", "steady", "what happens")
-	c.Flags().DurationVar(&o.Cut, "cut", time.Minute, "how long a cut or a loss lasts, where the scenario has one")
+	c.Flags().DurationVar(&o.OutageDuration, "cut", time.Minute,
+		"how long a cut or a loss lasts, where the scenario has one")
 }
 
 // newScalePartCommand returns the command of one process of such a run.
@@ -59,7 +60,7 @@
 		Use:    "scale-part",
 		Hidden: true,
 		Args:   cobra.NoArgs,
-		RunE:   func(*cobra.Command, []string) error { return asCommandError(scale.Part(os.Stdin, stdout)) },
+		RunE:   func(*cobra.Command, []string) error { return asCommandError(scale.RunWorker(os.Stdin, stdout)) },
 	}
 }
 
@@ -80,10 +81,10 @@
 	if err := writeResults(jsonPath, r); err != nil {
 		return err
 	}
-	if reason := r.Void(); reason != "" {
+	if reason := r.InvalidReason(); reason != "" {
 		return invalidRunError{fmt.Errorf("void: %s", reason)}
 	}
-	if !r.Holds() {
+	if !r.TargetsMet() {
 		return fmt.Errorf("with %d nodes not every target of control holds", r.Fleets[len(r.Fleets)-1].Nodes)
 	}
 	return nil
--- a/lab/capacity/capacity.go
+++ b/lab/capacity/capacity.go
@@ -1,6 +1,6 @@
-// Package capacity measures how what a node, a keeper and the lists cost grows with the size of a fleet, by the program's own
-// code: each measurement is repeated at several sizes, and package slope tells the form. docs/CAPACITY.md works out from
-// the slopes what the size that is coming costs.
+// Package capacity measures how the costs of a node, of the budget leader and of the endpoint lists grow with the size
+// of a fleet. It runs the program's own code, repeats each measurement at several sizes, and fits a growth model with
+// package scaling. The tables of docs/CAPACITY.md extrapolate the fitted models to the planned fleet size.
 package capacity
 
 import (
@@ -21,24 +21,24 @@
 
 // Options of a run.
 type Options struct {
-	Seed   uint64
-	Repeat int    // measurements at each size, 2 at least
-	Part   int    // sizes are divided by it, for a quick look: its figures say nothing of the great sizes; 0 means 1
-	Binary string // the program, for what is measured at a process of its own; "" means the running one
+	Seed        uint64
+	Repetitions int    // measurements at each size, 2 at least
+	SizeDivisor int    // sizes are divided by it, for a quick look: its figures say nothing of the great sizes; 0 means 1
+	Binary      string // the program, for what is measured at a process of its own; "" means the running one
 }
 
-// Slope is what was measured of one thing.
-type Slope struct {
-	Name   string          `json:"name"`
-	What   string          `json:"what"`
-	Unit   string          `json:"unit"`
-	Of     string          `json:"of"` // what the size counts
-	Points []scaling.Point `json:"points"`
-	Fit    scaling.Model   `json:"fit"`
+// Measurement holds the measured values of one figure at several sizes and the model fitted to them.
+type Measurement struct {
+	Name        string          `json:"name"`
+	Description string          `json:"what"`
+	Unit        string          `json:"unit"`
+	SizeOf      string          `json:"of"` // what the size counts
+	Points      []scaling.Point `json:"points"`
+	Fit         scaling.Model   `json:"fit"`
 }
 
 // Median is that of the measurements at a size; 0 where there is none.
-func (s *Slope) Median(n float64) float64 {
+func (s *Measurement) Median(n float64) float64 {
 	var y []float64
 	for _, p := range s.Points {
 		if p.Size == n {
@@ -52,7 +52,7 @@
 }
 
 // Sizes are those that were measured, the least first.
-func (s *Slope) Sizes() (sizes []float64) {
+func (s *Measurement) Sizes() (sizes []float64) {
 	for _, p := range s.Points {
 		if !slices.Contains(sizes, p.Size) {
 			sizes = append(sizes, p.Size)
@@ -62,32 +62,32 @@
 	return sizes
 }
 
-// Run is what a run has measured, and where.
-type Run struct {
-	Program string   `json:"program"`
-	Seed    uint64   `json:"seed"`
-	Repeat  int      `json:"repeat"`
-	Part    int      `json:"part"`
-	Cores   int      `json:"cores"`
-	Go      string   `json:"go"`
-	Slopes  []*Slope `json:"slopes"`
+// Results holds the measurements of a run and the environment they were made in.
+type Results struct {
+	Program      string         `json:"program"`
+	Seed         uint64         `json:"seed"`
+	Repetitions  int            `json:"repeat"`
+	SizeDivisor  int            `json:"part"`
+	Cores        int            `json:"cores"`
+	Go           string         `json:"go"`
+	Measurements []*Measurement `json:"slopes"`
 }
 
-// Slope finds one by its name; nil where it was not measured.
-func (r *Run) Slope(name string) *Slope {
-	if i := slices.IndexFunc(r.Slopes, func(s *Slope) bool { return s.Name == name }); i >= 0 {
-		return r.Slopes[i]
+// Measurement returns the measurement with the given name, or nil if it was not made.
+func (r *Results) Measurement(name string) *Measurement {
+	if i := slices.IndexFunc(r.Measurements, func(s *Measurement) bool { return s.Name == name }); i >= 0 {
+		return r.Measurements[i]
 	}
 	return nil
 }
 
-// Nodes and Servers are the sizes of fleets and of lists.
+// NodeCounts, ServerCounts, KeyCounts and ConnectionCounts are the sizes at which figures are measured.
 var (
-	Nodes       = []int{300, 1000, 3000, 5700}
-	Servers     = []int{90, 500, 1000, 2000, 5000}
-	fleets      = []int{300, 600, 1000, 2000} // in virtual time: above it a run takes minutes
-	Keys        = []int{1000, 4000, 16000, 45600}
-	Connections = []int{500, 1000, 2000, 4000}
+	NodeCounts       = []int{300, 1000, 3000, 5700}
+	ServerCounts     = []int{90, 500, 1000, 2000, 5000}
+	fleets           = []int{300, 600, 1000, 2000} // in virtual time: above it a run takes minutes
+	KeyCounts        = []int{1000, 4000, 16000, 45600}
+	ConnectionCounts = []int{500, 1000, 2000, 4000}
 )
 
 // group is some measurements that are made together.
@@ -109,19 +109,19 @@
 	{"ports", ports},
 }
 
-// Names are those of the groups of measurements.
-func Names() (names []string) {
+// GroupNames returns the names of the groups of measurements.
+func GroupNames() (names []string) {
 	for _, g := range groups {
 		names = append(names, g.name)
 	}
 	return names
 }
 
-// Check names the first name that is none of a group.
-func Check(names []string) error {
+// CheckGroupNames returns an error for the first name that is not that of a group.
+func CheckGroupNames(names []string) error {
 	for _, name := range names {
-		if !slices.Contains(Names(), name) {
-			return fmt.Errorf("%q is none of %s", name, strings.Join(Names(), ", "))
+		if !slices.Contains(GroupNames(), name) {
+			return fmt.Errorf("%q is none of %s", name, strings.Join(GroupNames(), ", "))
 		}
 	}
 	return nil
@@ -129,14 +129,14 @@
 
 // Measure makes the named groups of measurements, or all where none is named. What it measures in processor time is that of this whole
 // process or of a node's, so nothing else should go on here meanwhile.
-func Measure(ctx context.Context, o Options, names ...string) (*Run, error) {
-	if err := Check(names); err != nil {
+func Measure(ctx context.Context, o Options, names ...string) (*Results, error) {
+	if err := CheckGroupNames(names); err != nil {
 		return nil, err
 	}
-	if o.Part = max(o.Part, 1); o.Repeat < 2 {
+	if o.SizeDivisor = max(o.SizeDivisor, 1); o.Repetitions < 2 {
 		return nil, errors.New("each measurement is to be repeated: 2 at least")
 	}
-	b := &bench{o: o, run: &Run{Seed: o.Seed, Repeat: o.Repeat, Part: o.Part, Cores: runtime.NumCPU(), Go: runtime.Version()}}
+	b := &bench{o: o, run: &Results{Seed: o.Seed, Repetitions: o.Repetitions, SizeDivisor: o.SizeDivisor, Cores: runtime.NumCPU(), Go: runtime.Version()}}
 	for _, g := range groups {
 		if len(names) > 0 && !slices.Contains(names, g.name) {
 			continue
@@ -145,7 +145,7 @@
 			return nil, fmt.Errorf("%s: %w", g.name, err)
 		}
 	}
-	for _, s := range b.run.Slopes {
+	for _, s := range b.run.Measurements {
 		var err error
 		if s.Fit, err = scaling.FitModel(s.Points); err != nil {
 			return nil, fmt.Errorf("%s: %w", s.Name, err)
@@ -156,28 +156,28 @@
 
 type bench struct {
 	o   Options
-	run *Run
+	run *Results
 }
 
-func (b *bench) slope(name, what, unit, of string) *Slope {
-	s := &Slope{Name: name, What: what, Unit: unit, Of: of}
-	b.run.Slopes = append(b.run.Slopes, s)
+func (b *bench) slope(name, what, unit, of string) *Measurement {
+	s := &Measurement{Name: name, Description: what, Unit: unit, SizeOf: of}
+	b.run.Measurements = append(b.run.Measurements, s)
 	return s
 }
 
-func (s *Slope) add(n int, y float64) {
+func (s *Measurement) add(n int, y float64) {
 	s.Points = append(s.Points, scaling.Point{Size: float64(n), Value: y})
 }
 
 // each goes through sizes as often as measurements are to be repeated, all sizes in turn: what changes at the machine meanwhile
 // then meets all of them.
 func (b *bench) each(ctx context.Context, sizes []int, do func(n, turn int) error) error {
-	for turn := range b.o.Repeat {
+	for turn := range b.o.Repetitions {
 		for _, n := range sizes {
 			if err := ctx.Err(); err != nil {
 				return err
 			}
-			if err := do(max(n/b.o.Part, 20), turn); err != nil {
+			if err := do(max(n/b.o.SizeDivisor, 20), turn); err != nil {
 				return err
 			}
 		}
--- a/lab/capacity/capacity_test.go
+++ b/lab/capacity/capacity_test.go
@@ -21,11 +21,11 @@
 // Guards against a measurement that measures nothing: each finds what it measures in the state that it says (nodes that follow, units
 // granted, clients placed and connected, or it fails), at every size and as often as asked. Sizes are small, and no time is judged.
 func TestEachMeasurementIsMade(t *testing.T) {
-	r, err := Measure(context.Background(), Options{Seed: 3, Repeat: 2, Part: 15, Binary: binary})
+	r, err := Measure(context.Background(), Options{Seed: 3, Repetitions: 2, SizeDivisor: 15, Binary: binary})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, s := range r.Slopes {
+	for _, s := range r.Measurements {
 		if len(s.Sizes()) < 4 || len(s.Points) < 8 {
 			t.Errorf("%s: %d points at %v", s.Name, len(s.Points), s.Sizes())
 		}
@@ -34,21 +34,21 @@
 				t.Errorf("%s: %g at %g", s.Name, p.Value, p.Size)
 			}
 		}
-		if s.What == "" || s.Of == "" || s.Fit.Verdict == "" {
+		if s.Description == "" || s.SizeOf == "" || s.Fit.Verdict == "" {
 			t.Errorf("%s does not say what it is: %+v", s.Name, s)
 		}
 	}
 	// What is a count or a number of bytes is known without a clock.
 	for name, want := range map[string]scaling.Verdict{"list.bytes": scaling.Linear, "list.change_bytes": scaling.Constant, "start.bytes": scaling.Linear,
 		"node.descriptors": scaling.Linear, "ports.source": scaling.Linear, "keeper.ask_bytes": scaling.Constant} {
-		if s := r.Slope(name); s == nil || s.Fit.Verdict != want {
+		if s := r.Measurement(name); s == nil || s.Fit.Verdict != want {
 			t.Errorf("%s: %+v, want %s", name, s, want)
 		}
 	}
-	if d := r.Slope("node.descriptors").Fit; d.Slope < 1.99 || d.Slope > 2.01 {
+	if d := r.Measurement("node.descriptors").Fit; d.Slope < 1.99 || d.Slope > 2.01 {
 		t.Errorf("%.3f descriptors a connection, which are two: the client's and its server's", d.Slope)
 	}
-	if f := r.Slope("ports.source").Fit; f.Slope < 0.999 || f.Slope > 1.001 {
+	if f := r.Measurement("ports.source").Fit; f.Slope < 0.999 || f.Slope > 1.001 {
 		t.Errorf("%.3f local ports a connection where the key source is set, which is one of the address, whichever the server", f.Slope)
 	}
 	if _, err := json.Marshal(r); err != nil {
@@ -58,15 +58,15 @@
 
 // Guards against a run that starts on names or numbers that it does not know.
 func TestMeasureRefuses(t *testing.T) {
-	if _, err := Measure(context.Background(), Options{Repeat: 2}, "keeper", "no-such"); err == nil || !strings.Contains(err.Error(), "no-such") {
+	if _, err := Measure(context.Background(), Options{Repetitions: 2}, "keeper", "no-such"); err == nil || !strings.Contains(err.Error(), "no-such") {
 		t.Error(err)
 	}
-	if _, err := Measure(context.Background(), Options{Repeat: 1}, "pause"); err == nil {
+	if _, err := Measure(context.Background(), Options{Repetitions: 1}, "pause"); err == nil {
 		t.Error("one measurement tells no spread")
 	}
 	ended, end := context.WithCancel(context.Background())
 	end()
-	if _, err := Measure(ended, Options{Repeat: 2}, "pause"); err == nil {
+	if _, err := Measure(ended, Options{Repetitions: 2}, "pause"); err == nil {
 		t.Error("it goes on after its end")
 	}
 }
--- a/lab/capacity/control.go
+++ b/lab/capacity/control.go
@@ -114,7 +114,7 @@
 	in := b.slope("keeper.ask_bytes", "bytes of that ask, in the mean (10 lends, 1 want)", "bytes", "nodes")
 	out := b.slope("keeper.answer_bytes", "bytes of its answer, in the mean", "bytes", "nodes")
 	mem := b.slope("keeper.memory", "live memory of the keeper's part", "bytes", "nodes")
-	return b.each(ctx, Nodes, func(n, _ int) error {
+	return b.each(ctx, NodeCounts, func(n, _ int) error {
 		before := live()
 		c := newCrowd(n)
 		// Until a start of the keeper before this one is past all nodes only follow, often enough for their promises
@@ -160,7 +160,7 @@
 	mem := b.slope("follower.memory", "live memory of a node's part of the budgets", "bytes", "nodes")
 	begin := b.slope("follower.start", "processor time of its start", "us", "nodes")
 	const count = 400
-	return b.each(ctx, Nodes, func(n, _ int) error {
+	return b.each(ctx, NodeCounts, func(n, _ int) error {
 		before := live()
 		var f *budget.Member
 		begin.add(n, timed(1, func() { f = budget.New(budgetSettings(n, n-1), 99, 0) }))
@@ -247,7 +247,7 @@
 	third := b.slope("pause.third", "after a third in a row", "s", "nodes")
 	waited := b.slope("pause.waited", "after a third in a row of calls that waited 2 s before they failed, as at a service with too many callers", "s", "nodes")
 	cached := b.slope("pause.start", "the longest wait of a node that starts with an old list until it first asks", "s", "nodes")
-	return b.each(ctx, Nodes, func(n, turn int) error {
+	return b.each(ctx, NodeCounts, func(n, turn int) error {
 		var longest [4]time.Duration
 		for i := range 200 {
 			d := balance.New(balance.Config{NodeCount: n, NodeIndex: i % n}, b.o.Seed+uint64(turn*200+i))
--- a/lab/capacity/lists.go
+++ b/lab/capacity/lists.go
@@ -72,7 +72,7 @@
 	full := b.slope("list.whole", "processor time to read the whole list and take it in", "us", "servers")
 	change := b.slope("list.change", "processor time to read one change and take it in", "us", "servers")
 	delta := b.slope("list.change_bytes", "bytes of one change", "bytes", "servers")
-	return b.each(ctx, Servers, func(n, turn int) error {
+	return b.each(ctx, ServerCounts, func(n, turn int) error {
 		data, d := whole(n), decisions(b.o.Seed)
 		if err := read(d, data, balance.ListSnapshot); err != nil {
 			return err
@@ -137,7 +137,7 @@
 	first := b.slope("place.first", "processor time to place a client whose key is new", "us", "servers")
 	group := b.slope("place.group", "the same in a group whose ranking is known", "us", "servers")
 	again := b.slope("place.again", "the same for a key in the table, after a change of the list", "us", "servers")
-	return b.each(ctx, Servers, func(n, turn int) error {
+	return b.each(ctx, ServerCounts, func(n, turn int) error {
 		c, err := newClients(n, b.o.Seed+uint64(turn))
 		if err != nil {
 			return err
@@ -184,7 +184,7 @@
 	bare := b.slope("memory.servers", "live memory of the decisions with a list and no client", "bytes", "servers")
 	ranked := b.slope("memory.rankings", "the same with as many rankings kept as there may be (1,024)", "bytes", "servers")
 	held := b.slope("memory.connections", "live memory of the decisions by standing connections, among 90 servers", "bytes", "connections")
-	err := b.each(ctx, Servers, func(n, turn int) error {
+	err := b.each(ctx, ServerCounts, func(n, turn int) error {
 		before := live()
 		c, err := newClients(n, b.o.Seed+uint64(turn))
 		if err != nil {
@@ -201,7 +201,7 @@
 	if err != nil {
 		return err
 	}
-	return b.each(ctx, Keys, func(n, turn int) error {
+	return b.each(ctx, KeyCounts, func(n, turn int) error {
 		before := live()
 		c, err := newClients(90, b.o.Seed+uint64(turn))
 		if err != nil {
--- a/lab/capacity/page_test.go
+++ b/lab/capacity/page_test.go
@@ -47,7 +47,7 @@
 		t.Fatalf("the page has %d lines, and %d by the measurements", len(was), len(is))
 	}
 	// Each size that the page rests on was measured as often as it says, and at four sizes at least.
-	for _, s := range r.Slopes {
+	for _, s := range r.Measurements {
 		if len(s.Sizes()) < 4 {
 			t.Errorf("%s was measured at %v", s.Name, s.Sizes())
 		}
--- a/lab/capacity/process.go
+++ b/lab/capacity/process.go
@@ -127,7 +127,7 @@
 	used := b.slope("start.cpu", "processor time of a process until it takes clients", "us", "nodes")
 	after := b.slope("start.time", "time until then", "ms", "nodes")
 	mem := b.slope("start.memory", "memory of the process then (resident)", "bytes", "nodes")
-	return b.each(ctx, Nodes, func(n, _ int) error {
+	return b.each(ctx, NodeCounts, func(n, _ int) error {
 		cfg := config(n, n-1, "127.0.0.1:1", nil)
 		p, err := b.child(ctx, cfg)
 		if err != nil {
@@ -167,7 +167,7 @@
 	setup := b.slope("node.setup", "processor time of a set-up at the node, all of them together", "us", "connections")
 	message := b.slope("node.messages", "processor time of one message there and back on each connection, all together", "us", "connections")
 	idle := b.slope("node.idle", "processor time a second of connections that say nothing", "us", "connections")
-	return b.each(ctx, Connections, func(n, turn int) error {
+	return b.each(ctx, ConnectionCounts, func(n, turn int) error {
 		return b.stand(ctx, n, turn, func(used used) {
 			mem.add(n, used.memory)
 			fds.add(n, used.descriptors)
@@ -246,10 +246,10 @@
 func ports(ctx context.Context, b *bench) error {
 	set := b.slope("ports.source", "local ports that connections to 8 servers take, where the key `source` is set", "", "connections")
 	unset := b.slope("ports.plain", "the same where it is not", "", "connections")
-	return b.each(ctx, Connections, func(n, turn int) error {
+	return b.each(ctx, ConnectionCounts, func(n, turn int) error {
 		// Each time another address: a port is not free for a while after its connection.
 		for _, c := range []struct {
-			s      *Slope
+			s      *Measurement
 			source string
 		}{{set, fmt.Sprintf("127.%d.%d.%d", turn+1, n/250, n%250+1)}, {unset, ""}} {
 			var mu sync.Mutex
--- a/lab/capacity/target.go
+++ b/lab/capacity/target.go
@@ -14,10 +14,10 @@
 
 // Assumption is a figure that the calculation takes for granted.
 type Assumption struct {
-	What  string
-	Value float64
-	Unit  string
-	From  string
+	Name   string
+	Value  float64
+	Unit   string
+	Source string
 }
 
 // The size that is coming, as the operators give it, and what is assumed beside it.
@@ -105,16 +105,16 @@
 
 // Figure is what something costs at the target.
 type Figure struct {
-	Role, What string
+	Role, Name string
 	Unit       string
 	amount
-	Limit     float64 // 0 where none is named
-	Mechanism string  // that carries it
-	Design    string  // what control machines change of it, by design; "" nothing
+	Limit             float64 // 0 where none is named
+	Mechanism         string  // that carries it
+	ControlNodeEffect string  // what control machines change of it, by design; "" nothing
 }
 
-// Lack is how many times more it is than it may be; under 1 there is room.
-func (f Figure) Lack() float64 {
+// LimitRatio returns the estimate divided by the limit, or 0 if there is no limit.
+func (f Figure) LimitRatio() float64 {
 	if f.Limit == 0 {
 		return 0
 	}
@@ -122,38 +122,38 @@
 }
 
 // Load reads the files that runs were written to, as one run.
-func Load(paths ...string) (*Run, error) {
-	all := &Run{}
+func Load(paths ...string) (*Results, error) {
+	all := &Results{}
 	for _, path := range paths {
 		data, err := os.ReadFile(path)
 		if err != nil {
 			return nil, err
 		}
-		r := &Run{}
+		r := &Results{}
 		if err := json.Unmarshal(data, r); err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
-		for _, s := range r.Slopes {
-			if all.Slope(s.Name) != nil {
+		for _, s := range r.Measurements {
+			if all.Measurement(s.Name) != nil {
 				return nil, fmt.Errorf("%s: %s was measured in another file too", path, s.Name)
 			}
 			if s.Fit, err = scaling.FitModel(s.Points); err != nil {
 				return nil, fmt.Errorf("%s: %s: %w", path, s.Name, err)
 			}
 		}
-		if r.Part != 1 {
-			return nil, fmt.Errorf("%s: sizes were divided by %d, which tells nothing of the great ones", path, r.Part)
+		if r.SizeDivisor != 1 {
+			return nil, fmt.Errorf("%s: sizes were divided by %d, which tells nothing of the great ones", path, r.SizeDivisor)
 		}
-		all.Slopes = append(all.Slopes, r.Slopes...)
+		all.Measurements = append(all.Measurements, r.Measurements...)
 	}
 	return all, nil
 }
 
-// Work works out the figures at the target.
-func Work(r *Run) ([]Figure, error) {
+// Extrapolate calculates the figures at the target size.
+func Extrapolate(r *Results) ([]Figure, error) {
 	var missing []string
 	at := func(name string, n float64) amount {
-		s := r.Slope(name)
+		s := r.Measurement(name)
 		if s == nil {
 			missing = append(missing, name)
 			return amount{}
@@ -277,12 +277,12 @@
 }
 
 // Tables are those of the page, by the name under which the page has each. after is what a later program was measured to cost.
-func Tables(r, after *Run) (map[string]string, error) {
-	figures, err := Work(r)
+func Tables(r, after *Results) (map[string]string, error) {
+	figures, err := Extrapolate(r)
 	if err != nil {
 		return nil, err
 	}
-	tables := map[string]string{"after": Compare(r, after)}
+	tables := map[string]string{"after": ComparisonTable(r, after)}
 	var t strings.Builder
 	row := func(cells ...string) { t.WriteString("| " + strings.Join(cells, " | ") + " |\n") }
 	done := func(name string) { tables[name] = t.String(); t.Reset() }
@@ -290,13 +290,13 @@
 	row("what", "value", "from")
 	row("---", "---", "---")
 	for _, a := range Assumptions() {
-		row(a.What, strings.TrimSpace(number(a.Value)+" "+a.Unit), a.From)
+		row(a.Name, strings.TrimSpace(number(a.Value)+" "+a.Unit), a.Source)
 	}
 	done("assumptions")
 
 	row("slope", "what", "measured (median)", "line: slope ± 95%", "intercept", "spread", "exponent ± 95%", "form")
 	row("---", "---", "---", "---", "---", "---", "---", "---")
-	for _, s := range r.Slopes {
+	for _, s := range r.Measurements {
 		var at []string
 		for _, n := range s.Sizes() {
 			at = append(at, number(n)+": "+number(s.Median(n)))
@@ -309,7 +309,7 @@
 			}
 			return number(v)
 		}
-		row("`"+s.Name+"`", s.What+", "+cmp.Or(s.Unit, "number")+" by "+s.Of, strings.Join(at, "; "), seen(s.Fit.Slope, greatest)+" ± "+seen(s.Fit.SlopeMargin, greatest), seen(s.Fit.Intercept, 1),
+		row("`"+s.Name+"`", s.Description+", "+cmp.Or(s.Unit, "number")+" by "+s.SizeOf, strings.Join(at, "; "), seen(s.Fit.Slope, greatest)+" ± "+seen(s.Fit.SlopeMargin, greatest), seen(s.Fit.Intercept, 1),
 			percent(s.Fit.ResidualDeviation), fmt.Sprintf("%.2f ± %.2f", s.Fit.Exponent, s.Fit.ExponentMargin), string(s.Fit.Verdict))
 	}
 	done("slopes")
@@ -337,7 +337,7 @@
 			}
 			limit, factor := "", ""
 			if f.Limit > 0 {
-				limit, factor = with(f.Limit, f.Unit), factorText(f.Lack())
+				limit, factor = with(f.Limit, f.Unit), factorText(f.LimitRatio())
 			}
 			from := "assumptions alone"
 			if len(f.from) > 0 {
@@ -346,9 +346,9 @@
 			if f.form == scaling.Superlinear {
 				from += " (faster than a line)"
 			}
-			cells := []string{f.Role, f.What, read, worked, from, limit, factor, f.Mechanism}
+			cells := []string{f.Role, f.Name, read, worked, from, limit, factor, f.Mechanism}
 			if name == "roles" {
-				cells = append(cells, cmp.Or(f.Design, "no"))
+				cells = append(cells, cmp.Or(f.ControlNodeEffect, "no"))
 			}
 			row(cells...)
 		}
@@ -357,22 +357,22 @@
 
 	row("lack", "where", "what", "carried by today")
 	row("---", "---", "---", "---")
-	lacks := slices.DeleteFunc(slices.Clone(figures), func(f Figure) bool { return f.Lack() <= 1 })
-	slices.SortStableFunc(lacks, func(x, y Figure) int { return cmp.Compare(y.Lack(), x.Lack()) })
+	lacks := slices.DeleteFunc(slices.Clone(figures), func(f Figure) bool { return f.LimitRatio() <= 1 })
+	slices.SortStableFunc(lacks, func(x, y Figure) int { return cmp.Compare(y.LimitRatio(), x.LimitRatio()) })
 	for _, f := range lacks {
-		row(fmt.Sprintf("%s times", number(f.Lack())), f.Role, f.What, f.Mechanism)
+		row(fmt.Sprintf("%s times", number(f.LimitRatio())), f.Role, f.Name, f.Mechanism)
 	}
 	done("lacks")
 	return tables, nil
 }
 
-// Compare is a table of what was measured of two programs: for each slope of the later run the medians of both, by size, and how many times the
-// earlier one's the later one's is at the greatest size that both have.
-func Compare(before, after *Run) string {
+// ComparisonTable returns a table that compares the measurements of two versions of the program: the medians of both
+// by size, and the ratio of the later to the earlier one at the largest size that both have.
+func ComparisonTable(before, after *Results) string {
 	var t strings.Builder
 	fmt.Fprintln(&t, "| slope | what | before | after | at the greatest size |\n| --- | --- | --- | --- | --- |")
-	for _, s := range after.Slopes {
-		at := func(s *Slope) string {
+	for _, s := range after.Measurements {
+		at := func(s *Measurement) string {
 			if s == nil {
 				return "not measured"
 			}
@@ -382,7 +382,7 @@
 			}
 			return strings.Join(at, "; ") + " (" + string(s.Fit.Verdict) + ")"
 		}
-		was, times := before.Slope(s.Name), ""
+		was, times := before.Measurement(s.Name), ""
 		if was != nil {
 			for _, n := range s.Sizes() {
 				if slices.Contains(was.Sizes(), n) && was.Median(n) > 0 {
@@ -390,7 +390,7 @@
 				}
 			}
 		}
-		fmt.Fprintf(&t, "| `%s` | %s, %s by %s | %s | %s | %s |\n", s.Name, s.What, cmp.Or(s.Unit, "number"), s.Of, at(was), at(s), times)
+		fmt.Fprintf(&t, "| `%s` | %s, %s by %s | %s | %s | %s |\n", s.Name, s.Description, cmp.Or(s.Unit, "number"), s.SizeOf, at(was), at(s), times)
 	}
 	return t.String()
 }
--- a/lab/capacity/target_test.go
+++ b/lab/capacity/target_test.go
@@ -10,26 +10,26 @@
 )
 
 // made is a run whose slopes are all known: each costs so much for one of its size.
-func made(cost map[string]float64) *Run {
-	r := &Run{Part: 1}
+func made(cost map[string]float64) *Results {
+	r := &Results{SizeDivisor: 1}
 	add := func(name string, sizes []int) {
-		s := &Slope{Name: name, What: name, Unit: "us", Of: "size"}
+		s := &Measurement{Name: name, Description: name, Unit: "us", SizeOf: "size"}
 		for _, n := range sizes {
 			s.add(n, cost[name]*float64(n))
 			s.add(n, cost[name]*float64(n))
 		}
 		s.Fit, _ = scaling.FitModel(s.Points)
-		r.Slopes = append(r.Slopes, s)
+		r.Measurements = append(r.Measurements, s)
 	}
 	for _, name := range []string{"keeper.ask", "keeper.beat", "keeper.ask_bytes", "keeper.answer_bytes", "keeper.memory", "follower.beat", "follower.memory", "pause.first",
 		"pause.third", "pause.start", "start.bytes", "start.cpu", "start.memory", "words.busiest", "words.mean"} {
-		add(name, Nodes)
+		add(name, NodeCounts)
 	}
 	for _, name := range []string{"list.bytes", "list.whole", "list.change", "list.change_bytes", "place.first", "memory.rankings"} {
-		add(name, Servers)
+		add(name, ServerCounts)
 	}
 	for _, name := range []string{"node.setup", "node.messages", "node.memory", "node.descriptors", "ports.source"} {
-		add(name, Connections)
+		add(name, ConnectionCounts)
 	}
 	return r
 }
@@ -37,7 +37,7 @@
 // Guards against arithmetic that is wrong by a factor: figures that are easy to work out by hand come out so, the one that lacks
 // most stands first in the list of what is missing, and none that has room is in it.
 func TestWork(t *testing.T) {
-	figures, err := Work(made(map[string]float64{
+	figures, err := Extrapolate(made(map[string]float64{
 		"keeper.ask": 0.5, "place.first": 0.6, "node.setup": 250, "node.memory": 28_000, "node.descriptors": 2, "ports.source": 1, "list.bytes": 115, "node.messages": 40}))
 	if err != nil {
 		t.Fatal(err)
@@ -57,9 +57,9 @@
 	} {
 		found := 0
 		for _, f := range figures {
-			if strings.Contains(f.Role, c.role) && strings.Contains(f.What, c.what) {
+			if strings.Contains(f.Role, c.role) && strings.Contains(f.Name, c.what) {
 				if found++; f.y < c.want*0.999 || f.y > c.want*1.001 || f.low > f.y || f.high < f.y {
-					t.Errorf("%s, %s: %g (%g to %g), want %g", f.Role, f.What, f.y, f.low, f.high, c.want)
+					t.Errorf("%s, %s: %g (%g to %g), want %g", f.Role, f.Name, f.y, f.low, f.high, c.want)
 				}
 			}
 		}
@@ -88,7 +88,7 @@
 
 // Guards against tables of measurements that were not made, or of small sizes.
 func TestLoadAndWorkRefuse(t *testing.T) {
-	if _, err := Work(&Run{}); err == nil || !strings.Contains(err.Error(), "keeper.ask") {
+	if _, err := Extrapolate(&Results{}); err == nil || !strings.Contains(err.Error(), "keeper.ask") {
 		t.Error(err)
 	}
 	if _, err := Fill("a page", map[string]string{}); err == nil || !strings.Contains(err.Error(), "assumptions") {
@@ -116,7 +116,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if r, err := Load(file(one)); err != nil || r.Slope("a").Fit.Verdict != scaling.Linear {
+	if r, err := Load(file(one)); err != nil || r.Measurement("a").Fit.Verdict != scaling.Linear {
 		t.Error(err)
 	}
 }
--- a/lab/scale/fleet.go
+++ b/lab/scale/fleet.go
@@ -79,10 +79,10 @@
 
 // Links says what the way between two machines is like, each way.
 type Links struct {
-	Zone    time.Duration `json:"zone"`    // within a zone
-	Region  time.Duration `json:"region"`  // between zones of a region
-	Regions time.Duration `json:"regions"` // between regions
-	Lose    float64       `json:"lose"`    // part of the datagrams between regions that is lost
+	WithinZone     time.Duration `json:"zone"`    // within a zone
+	WithinRegion   time.Duration `json:"region"`  // between zones of a region
+	BetweenRegions time.Duration `json:"regions"` // between regions
+	LossRate       float64       `json:"lose"`    // part of the datagrams between regions that is lost
 }
 
 // links is what the ways are like now. It is shared by many goroutines.
@@ -106,15 +106,15 @@
 // between is what the way between two zones is like now.
 func (l *links) between(a, b int) (delay time.Duration, lose float64, cut bool) {
 	if a == b {
-		return l.Zone, 0, false
+		return l.WithinZone, 0, false
 	}
 	off, ra, rb := l.apart.Load(), regionOf(a), regionOf(b)
 	cut = slices.Contains(off.Zones, a) || slices.Contains(off.Zones, b) ||
 		ra != rb && (slices.Contains(off.Regions, ra) || slices.Contains(off.Regions, rb))
 	if ra == rb {
-		return l.Region, 0, cut
+		return l.WithinRegion, 0, cut
 	}
-	return l.Regions, l.Lose, cut
+	return l.BetweenRegions, l.LossRate, cut
 }
 
 // datagram is what becomes of one between two zones.
--- a/lab/scale/messages.go
+++ b/lab/scale/messages.go
@@ -111,18 +111,18 @@
 
 // flow is words and bytes.
 type flow struct {
-	Words     float64 `json:"words"`
-	Bytes     float64 `json:"bytes"`
-	MostWords float64 `json:"most_words"`
-	MostBytes float64 `json:"most_bytes"`
+	Messages    float64 `json:"words"`
+	Bytes       float64 `json:"bytes"`
+	MaxMessages float64 `json:"most_words"`
+	MaxBytes    float64 `json:"most_bytes"`
 }
 
 func (f *flow) add(words, bytes float64) {
-	f.Words, f.Bytes = f.Words+words, f.Bytes+bytes
-	f.MostWords, f.MostBytes = max(f.MostWords, words), max(f.MostBytes, bytes)
+	f.Messages, f.Bytes = f.Messages+words, f.Bytes+bytes
+	f.MaxMessages, f.MaxBytes = max(f.MaxMessages, words), max(f.MaxBytes, bytes)
 }
 
 func (f *flow) merge(o flow) {
-	f.Words, f.Bytes = f.Words+o.Words, f.Bytes+o.Bytes
-	f.MostWords, f.MostBytes = max(f.MostWords, o.MostWords), max(f.MostBytes, o.MostBytes)
+	f.Messages, f.Bytes = f.Messages+o.Messages, f.Bytes+o.Bytes
+	f.MaxMessages, f.MaxBytes = max(f.MaxMessages, o.MaxMessages), max(f.MaxBytes, o.MaxBytes)
 }
--- a/lab/scale/part.go
+++ b/lab/scale/part.go
@@ -30,8 +30,9 @@
 	"brassmux/node"
 )
 
-// Part is one process of a run: hollow nodes, or the list service. It takes orders until they end.
-func Part(in io.Reader, out io.Writer) error {
+// RunWorker runs one worker process, which emulates nodes or the list service. It executes commands from in until
+// in ends and writes its reports to out.
+func RunWorker(in io.Reader, out io.Writer) error {
 	p := &part{out: json.NewEncoder(out)}
 	orders := bufio.NewScanner(in)
 	orders.Buffer(nil, 1<<24)
--- a/lab/scale/real.go
+++ b/lab/scale/real.go
@@ -40,7 +40,7 @@
 	settings["ceilings"], settings["index"] = ceilings, n.number
 	peers := map[string]any{"listen": "127.0.0.1:0"}
 	var addrs []string
-	if f.o.Control > 0 {
+	if f.o.ControlNodes > 0 {
 		for _, i := range f.place.prefers(n.number) {
 			addrs = append(addrs, f.relay.Addr(f.place.first()+i))
 		}
@@ -137,22 +137,22 @@
 		n.began.CPU = 0
 	}
 	r := (*roles)["real"]
-	r.Machines, r.Processes = r.Machines+1, r.Processes+1
-	mean := func(to *float64, x float64) { *to = round(*to + (x-*to)/float64(r.Machines)) }
+	r.Nodes, r.Processes = r.Nodes+1, r.Processes+1
+	mean := func(to *float64, x float64) { *to = round(*to + (x-*to)/float64(r.Nodes)) }
 	cores, mb := (now.CPU-n.began.CPU).Seconds()/took, now.Resident/1e6
 	mean(&r.CPU, cores)
-	mean(&r.Resident, mb)
-	mean(&r.Files, float64(now.Descriptors))
-	r.MostCPU, r.MostMB = max(r.MostCPU, round(cores)), max(r.MostMB, round(mb))
+	mean(&r.ResidentMB, mb)
+	mean(&r.Descriptors, float64(now.Descriptors))
+	r.MaxCPU, r.MaxResidentMB = max(r.MaxCPU, round(cores)), max(r.MaxResidentMB, round(mb))
 	for _, x := range []struct {
 		f            *flow
 		words, bytes float64
 	}{{&r.In, d["peer_words"] / took, d["peer_bytes"] / took}, {&r.Out, d["peer_words_sent"] / took, d["peer_bytes_sent"] / took}} {
-		mean(&x.f.Words, x.words)
+		mean(&x.f.Messages, x.words)
 		mean(&x.f.Bytes, x.bytes)
-		x.f.MostWords, x.f.MostBytes = max(x.f.MostWords, round(x.words)), max(x.f.MostBytes, round(x.bytes))
+		x.f.MaxMessages, x.f.MaxBytes = max(x.f.MaxMessages, round(x.words)), max(x.f.MaxBytes, round(x.bytes))
 	}
-	r.Lost += int64(d["peer_dropped"])
+	r.Dropped += int64(d["peer_dropped"])
 	(*roles)["real"] = r
 }
 
@@ -184,7 +184,7 @@
 }
 
 func (f *fleet) serveClients() {
-	for i := range f.o.Real * clientsEach {
+	for i := range f.o.RealNodes * clientsEach {
 		go func() {
 			rng := rand.New(rand.NewPCG(f.o.Seed, uint64(i)))
 			for again := 0; f.sleep(time.Duration(rng.Int64N(int64(time.Second)))); again++ {
--- a/lab/scale/scale.go
+++ b/lab/scale/scale.go
@@ -1,6 +1,7 @@
-// Package scale plays fleets of growing size on one machine: hollow nodes, which run the program's own control code with their clients'
-// traffic drawn, beside real processes that serve real clients and a list service, with zones and regions on their links. It
-// counts what control costs each role, and holds it against what the size that is coming allows.
+// Package scale measures the cost of the control plane in fleets of growing size on one machine. A fleet consists of
+// emulated nodes, which run the program's own control code under synthetic traffic, real node processes that serve
+// real clients, and a list service; the links between them have the delays and losses of zones and regions. The cost
+// for each role is compared with its target at the planned fleet size.
 package scale
 
 import (
@@ -25,15 +26,15 @@
 
 // Options say what is played.
 type Options struct {
-	Nodes    []int         // sizes, hollow and real nodes together
-	Real     int           // processes of the program among them that serve real clients
-	Seed     uint64        // for the nodes, their traffic and chance
-	For      time.Duration // that is counted over, in each fleet
-	Control  int           // control machines beside them; 0 where control is flat
-	Scenario string        // one of Scenarios
-	Cut      time.Duration // how long a cut or a loss lasts, where the scenario has one
-	Binary   string        // of the program; "" for the one that runs
-	Log      io.Writer     // of what goes on; nil for none
+	Nodes          []int         // sizes, hollow and real nodes together
+	RealNodes      int           // processes of the program among them that serve real clients
+	Seed           uint64        // for the nodes, their traffic and chance
+	Duration       time.Duration // that is counted over, in each fleet
+	ControlNodes   int           // control machines beside them; 0 where control is flat
+	Scenario       string        // one of Scenarios
+	OutageDuration time.Duration // how long a cut or a loss lasts, where the scenario has one
+	Binary         string        // of the program; "" for the one that runs
+	Log            io.Writer     // of what goes on; nil for none
 }
 
 // Bounds of the options.
@@ -59,18 +60,18 @@
 		} else if i > 0 && n <= o.Nodes[i-1] {
 			return fmt.Errorf("--nodes: %d is not over the one before it", n)
 		}
-		if o.Real < 0 || o.Real > mostReal || o.Real > n/4 {
-			return fmt.Errorf("--real: %d is not 0 to %d, and a fourth of the nodes at most", o.Real, mostReal)
+		if o.RealNodes < 0 || o.RealNodes > mostReal || o.RealNodes > n/4 {
+			return fmt.Errorf("--real: %d is not 0 to %d, and a fourth of the nodes at most", o.RealNodes, mostReal)
 		}
 	}
-	if o.Control < 0 || o.Control > mostControl {
-		return fmt.Errorf("--control: %d is not 0 to %d", o.Control, mostControl)
+	if o.ControlNodes < 0 || o.ControlNodes > mostControl {
+		return fmt.Errorf("--control: %d is not 0 to %d", o.ControlNodes, mostControl)
 	}
-	if o.For < leastFor || o.For > mostFor {
-		return fmt.Errorf("--for: %v is not %v to %v", o.For, leastFor, mostFor)
+	if o.Duration < leastFor || o.Duration > mostFor {
+		return fmt.Errorf("--for: %v is not %v to %v", o.Duration, leastFor, mostFor)
 	}
-	if o.Cut < time.Second || o.Cut > mostFor {
-		return fmt.Errorf("--cut: %v is not 1s to %v", o.Cut, mostFor)
+	if o.OutageDuration < time.Second || o.OutageDuration > mostFor {
+		return fmt.Errorf("--cut: %v is not 1s to %v", o.OutageDuration, mostFor)
 	}
 	if !slices.Contains(Scenarios(), o.Scenario) {
 		return fmt.Errorf("--scenario: %q is none of %s", o.Scenario, strings.Join(Scenarios(), ", "))
@@ -80,96 +81,97 @@
 
 // Result is what was counted with all sizes.
 type Result struct {
-	Scenario string   `json:"scenario"`
-	Seed     uint64   `json:"seed"`
-	Control  int      `json:"control"` // control machines; 0 where control is flat
-	For      float64  `json:"for_s"`
-	Fleets   []*Fleet `json:"fleets"`
-	Slopes   []Slope  `json:"slopes"` // over the sizes; none under four of them
+	Scenario        string   `json:"scenario"`
+	Seed            uint64   `json:"seed"`
+	ControlNodes    int      `json:"control"` // control machines; 0 where control is flat
+	DurationSeconds float64  `json:"for_s"`
+	Fleets          []*Fleet `json:"fleets"`
+	Slopes          []Slope  `json:"slopes"` // over the sizes; none under four of them
 }
 
 // Fleet is what was counted with one size.
 type Fleet struct {
-	Nodes   int             `json:"nodes"`
-	Real    int             `json:"real"`
-	Void    string          `json:"void"`       // why the run says nothing; "" where it does
-	Settled bool            `json:"settled"`    // before it began all nodes followed the list and one keeper
-	Late    float64         `json:"late_ms"`    // the most by which any process of the run itself was late, of those that lead nothing
-	Looks   float64         `json:"late_looks"` // part of its looks at the clock at which the worst of them was 100 ms late
-	Start   float64         `json:"start_s"`    // until all served
-	Roles   map[string]Role `json:"roles"`
-	Changes Changes         `json:"changes"`
-	Units   Units           `json:"units"`
-	Peak    Peak            `json:"peak"`
-	Clients map[string]int  `json:"clients"` // the real ones
-	Targets []Target        `json:"targets"`
-	Notes   []string        `json:"notes,omitempty"`
+	Nodes           int             `json:"nodes"`
+	RealNodes       int             `json:"real"`
+	InvalidReason   string          `json:"void"`       // why the run says nothing; "" where it does
+	Settled         bool            `json:"settled"`    // before it began all nodes followed the list and one keeper
+	MaxDelayMS      float64         `json:"late_ms"`    // the most by which any process of the run itself was late, of those that lead nothing
+	LateSampleRatio float64         `json:"late_looks"` // part of its looks at the clock at which the worst of them was 100 ms late
+	StartupSeconds  float64         `json:"start_s"`    // until all served
+	Roles           map[string]Role `json:"roles"`
+	Changes         ChangeLatency   `json:"changes"`
+	Units           UnitUsage       `json:"units"`
+	Peak            Peak            `json:"peak"`
+	Clients         map[string]int  `json:"clients"` // the real ones
+	Targets         []Target        `json:"targets"`
+	Notes           []string        `json:"notes,omitempty"`
 }
 
 // Role is what one machine of a role used and met, a second: the mean over those of the role, and the most at any.
 type Role struct {
-	Machines  int              `json:"machines"`
-	CPU       float64          `json:"cores"`
-	MostCPU   float64          `json:"most_cores"` // of a process: hollow nodes that share one count as its mean
-	Live      float64          `json:"live_mb"`    // in use after a collection; 0 where it was not looked at
-	Resident  float64          `json:"resident_mb"`
-	MostMB    float64          `json:"most_resident_mb"`
-	Files     float64          `json:"descriptors"`
-	In        flow             `json:"in"`   // from other nodes
-	Out       flow             `json:"out"`  // to them
-	List      flow             `json:"list"` // from the list service; for that itself, to all
-	Lost      int64            `json:"lost"` // words that came and were not looked at
-	Counters  map[string]int64 `json:"counters,omitempty"`
-	Processes int              `json:"processes"`
-}
-
-// Changes tells from when a change was made until it was in force, in seconds.
-type Changes struct {
-	Made  int     `json:"made"`
-	Half  float64 `json:"half"`  // at half of the nodes, in the mean of the changes
-	Most  float64 `json:"p99"`   // at 99 in 100, at the worst of the changes
-	All   float64 `json:"all"`   // at all, at the worst of the changes that got there
-	Never int     `json:"never"` // nodes and changes that did not meet, with time enough
-}
-
-// Peak is the wave that a return brings: the most words that came in any second after it over the mean before, at the receiver where that is
-// the most. A mean under ten counts as ten. At the list service calls are held against the mean of calls and lists.
+	Nodes         int              `json:"machines"`
+	CPU           float64          `json:"cores"`
+	MaxCPU        float64          `json:"most_cores"` // of a process: hollow nodes that share one count as its mean
+	LiveMB        float64          `json:"live_mb"`    // in use after a collection; 0 where it was not looked at
+	ResidentMB    float64          `json:"resident_mb"`
+	MaxResidentMB float64          `json:"most_resident_mb"`
+	Descriptors   float64          `json:"descriptors"`
+	In            flow             `json:"in"`   // from other nodes
+	Out           flow             `json:"out"`  // to them
+	List          flow             `json:"list"` // from the list service; for that itself, to all
+	Dropped       int64            `json:"lost"` // words that came and were not looked at
+	Counters      map[string]int64 `json:"counters,omitempty"`
+	Processes     int              `json:"processes"`
+}
+
+// ChangeLatency summarizes the seconds between making a list change and its application at the nodes.
+type ChangeLatency struct {
+	Count   int     `json:"made"`
+	Median  float64 `json:"half"`  // at half of the nodes, in the mean of the changes
+	P99     float64 `json:"p99"`   // at 99 in 100, at the worst of the changes
+	Max     float64 `json:"all"`   // at all, at the worst of the changes that got there
+	Missing int     `json:"never"` // nodes and changes that did not meet, with time enough
+}
+
+// Peak is the load peak after a fault ends: the most messages that a receiver got in any second after it, divided by
+// the mean before it, at the receiver with the highest ratio. A mean below ten counts as ten. At the list service,
+// calls are compared with the mean of calls and list notifications.
 type Peak struct {
-	Times float64 `json:"times"`
+	Ratio float64 `json:"times"`
 	Role  string  `json:"role"`
 	Node  int     `json:"node"` // -1 for the list service
 }
 
-// Units tells of what all nodes together may take.
-type Units struct {
-	Kind    string  `json:"kind"`
-	Whole   int     `json:"whole"` // in any second
-	Taken   int64   `json:"taken"`
-	Refused int64   `json:"refused"`
-	Most    int     `json:"most"`      // in any second
-	Gap     float64 `json:"gap_p99_s"` // longest time in which a busy node was granted nothing, 99 in 100 of them
-	GapMost float64 `json:"gap_most_s"`
+// UnitUsage compares the units taken by all nodes with their common limit.
+type UnitUsage struct {
+	Kind         string  `json:"kind"`
+	Limit        int     `json:"whole"` // in any second
+	Taken        int64   `json:"taken"`
+	Refused      int64   `json:"refused"`
+	MaxPerSecond int     `json:"most"`      // in any second
+	GapP99       float64 `json:"gap_p99_s"` // longest time in which a busy node was granted nothing, 99 in 100 of them
+	MaxGap       float64 `json:"gap_most_s"`
 }
 
 // Target is what control may cost, and what it did.
 type Target struct {
-	What   string  `json:"what"`
-	Got    float64 `json:"got"`
-	Limit  float64 `json:"limit"`
-	Holds  bool    `json:"holds"`
-	Factor float64 `json:"factor"` // got over limit
+	Name  string  `json:"what"`
+	Value float64 `json:"got"`
+	Limit float64 `json:"limit"`
+	Met   bool    `json:"holds"`
+	Ratio float64 `json:"factor"` // got over limit
 }
 
-// Holds tells that every target holds with the greatest size.
-func (r *Result) Holds() bool {
-	return !slices.ContainsFunc(r.Fleets[len(r.Fleets)-1].Targets, func(t Target) bool { return !t.Holds })
+// TargetsMet reports whether the largest fleet met every target.
+func (r *Result) TargetsMet() bool {
+	return !slices.ContainsFunc(r.Fleets[len(r.Fleets)-1].Targets, func(t Target) bool { return !t.Met })
 }
 
-// Void tells why the run says nothing; "" where it does.
-func (r *Result) Void() string {
+// InvalidReason returns why a run is invalid, or "" if all fleets gave valid results.
+func (r *Result) InvalidReason() string {
 	for _, f := range r.Fleets {
-		if f.Void != "" {
-			return fmt.Sprintf("%d nodes: %s", f.Nodes, f.Void)
+		if f.InvalidReason != "" {
+			return fmt.Sprintf("%d nodes: %s", f.Nodes, f.InvalidReason)
 		}
 	}
 	return ""
@@ -194,7 +196,7 @@
 	if err := process.RaiseDescriptorLimit(2*most + 1000); err != nil {
 		return nil, err
 	}
-	r := &Result{Scenario: o.Scenario, Seed: o.Seed, Control: o.Control, For: o.For.Seconds()}
+	r := &Result{Scenario: o.Scenario, Seed: o.Seed, ControlNodes: o.ControlNodes, DurationSeconds: o.Duration.Seconds()}
 	for _, n := range o.Nodes {
 		f := newFleet(o, n)
 		got, err := f.play()
@@ -263,8 +265,8 @@
 }
 
 func newFleet(o Options, n int) *fleet {
-	return &fleet{o: o, n: n, seen: &Fleet{Nodes: n, Real: o.Real, Roles: map[string]Role{}}, alone: map[int]bool{}, gone: map[int]bool{},
-		links: newLinks(Links{Zone: 250 * time.Microsecond, Region: time.Millisecond, Regions: 40 * time.Millisecond, Lose: 0.001}),
+	return &fleet{o: o, n: n, seen: &Fleet{Nodes: n, RealNodes: o.RealNodes, Roles: map[string]Role{}}, alone: map[int]bool{}, gone: map[int]bool{},
+		links: newLinks(Links{WithinZone: 250 * time.Microsecond, WithinRegion: time.Millisecond, BetweenRegions: 40 * time.Millisecond, LossRate: 0.001}),
 		made:  map[int64]time.Time{}, force: map[int64]map[int]time.Duration{}, back: map[int]time.Time{}, units: map[int64]int{}, states: map[*proc]*state{}, over: make(chan struct{})}
 }
 
@@ -283,7 +285,7 @@
 // realNumbers are those of the real nodes: the last ones that lead nothing.
 func (f *fleet) realNumbers() (numbers []int) {
 	first := f.leaders()
-	for i := f.n - 1; len(numbers) < f.o.Real; i-- {
+	for i := f.n - 1; len(numbers) < f.o.RealNodes; i-- {
 		if !slices.Contains(first, i) {
 			numbers = append(numbers, i)
 		}
@@ -303,8 +305,8 @@
 	if err := f.start(); err != nil {
 		return nil, err
 	}
-	f.seen.Start = time.Since(begun).Seconds()
-	f.say("all serve after %.1f s", f.seen.Start)
+	f.seen.StartupSeconds = time.Since(begun).Seconds()
+	f.say("all serve after %.1f s", f.seen.StartupSeconds)
 	f.settle()
 	f.span(f.happen)
 	f.finish()
@@ -313,7 +315,7 @@
 
 // open brings up all but the nodes.
 func (f *fleet) open() (err error) {
-	f.place = place{Nodes: f.n, Control: f.o.Control}
+	f.place = place{Nodes: f.n, Control: f.o.ControlNodes}
 	for _, port := range []*int{&f.place.Port, &f.place.Children} {
 		held, err := net.ListenPacket("udp4", "127.0.0.1:0")
 		if err != nil {
@@ -321,7 +323,7 @@
 		}
 		f.ports, *port = append(f.ports, held), held.LocalAddr().(*net.UDPAddr).Port
 	}
-	if f.relay, err = emulator.NewDatagramNetwork(f.place.first()+f.o.Control, f.o.Seed); err != nil {
+	if f.relay, err = emulator.NewDatagramNetwork(f.place.first()+f.o.ControlNodes, f.o.Seed); err != nil {
 		return err
 	}
 	numbers := f.realNumbers()
@@ -339,7 +341,7 @@
 	}
 	for _, i := range f.place.all() {
 		if port := f.place.Port; !slices.Contains(numbers, i) {
-			if f.o.Control > 0 && f.place.is(i) >= 0 { // what real nodes reach of it
+			if f.o.ControlNodes > 0 && f.place.is(i) >= 0 { // what real nodes reach of it
 				port = f.place.Children
 			}
 			f.relay.SetNodeAddr(i, hollowAddr(i, port), false)
@@ -360,7 +362,7 @@
 	}
 	var addrs []string
 	for i := range f.n {
-		if f.o.Control > 0 { // nobody knows all
+		if f.o.ControlNodes > 0 { // nobody knows all
 			break
 		}
 		if addrs = append(addrs, relays[i]); addrs[i] == "" {
@@ -394,7 +396,7 @@
 		p := &proc{role: "node", numbers: g}
 		if f.alone[g[0]] {
 			p.role = "spare"
-			if f.o.Control > 0 {
+			if f.o.ControlNodes > 0 {
 				p.role = "control"
 			}
 			if g[0] == f.leaders()[0] {
@@ -418,10 +420,10 @@
 
 // leaders gives the numbers of who is asked first whether it leads, the first one first: each has a process of its own.
 func (f *fleet) leaders() []int {
-	if f.o.Control == 0 {
+	if f.o.ControlNodes == 0 {
 		return leaders(f.n)[:alone]
 	}
-	all := leaders(f.o.Control)
+	all := leaders(f.o.ControlNodes)
 	for i := range all {
 		all[i] += f.place.first()
 	}
@@ -655,7 +657,7 @@
 		f.mu.Lock()
 		n := len(f.force[version])
 		f.mu.Unlock()
-		if n >= f.n+f.o.Control-len(f.gone) {
+		if n >= f.n+f.o.ControlNodes-len(f.gone) {
 			return true
 		}
 	}
@@ -702,13 +704,13 @@
 		f.say("%s", f.seen.Notes[len(f.seen.Notes)-1])
 	}
 	for i := 0; i < 40; i++ {
-		if _, by := f.followed(); by > (f.n+f.o.Control-f.o.Real)*99/100 {
+		if _, by := f.followed(); by > (f.n+f.o.ControlNodes-f.o.RealNodes)*99/100 {
 			break
 		}
 		time.Sleep(250 * time.Millisecond)
 	}
 	keepers, by := f.followed()
-	f.seen.Settled = f.seen.Settled && by > (f.n+f.o.Control-f.o.Real)*99/100
+	f.seen.Settled = f.seen.Settled && by > (f.n+f.o.ControlNodes-f.o.RealNodes)*99/100
 	f.say("%s; %d know that most do as they do", whom(keepers), by)
 	resident := 0.0
 	for _, p := range f.procs() {
@@ -755,16 +757,16 @@
 		}
 		roles[p.role] = append(roles[p.role], r.Span)
 		if p.role == "node" { // the others' own work may be too much for them
-			f.seen.Late, f.seen.Looks = max(f.seen.Late, r.Span.Late), max(f.seen.Looks, round(r.Span.Looks))
+			f.seen.MaxDelayMS, f.seen.LateSampleRatio = max(f.seen.MaxDelayMS, r.Span.Late), max(f.seen.LateSampleRatio, round(r.Span.Looks))
 		}
 	}
 	most, looks := f.clock.was()
-	f.seen.Late, f.seen.Looks = max(f.seen.Late, most), max(f.seen.Looks, round(looks))
+	f.seen.MaxDelayMS, f.seen.LateSampleRatio = max(f.seen.MaxDelayMS, most), max(f.seen.LateSampleRatio, round(looks))
 	close(f.over)
 	for role, spans := range roles {
 		f.seen.Roles[role] = sum(spans)
 		for _, s := range spans {
-			if s.Peak > f.seen.Peak.Times {
+			if s.Peak > f.seen.Peak.Ratio {
 				f.seen.Peak = Peak{round(s.Peak), role, s.PeakAt}
 			}
 		}
@@ -788,7 +790,7 @@
 	}
 	slices.Sort(gaps)
 	if len(gaps) > 0 {
-		f.seen.Units.Gap, f.seen.Units.GapMost = round(gaps[at(len(gaps), 0.99)]), round(gaps[len(gaps)-1])
+		f.seen.Units.GapP99, f.seen.Units.MaxGap = round(gaps[at(len(gaps), 0.99)]), round(gaps[len(gaps)-1])
 	}
 }
 
@@ -808,10 +810,10 @@
 	r := Role{Processes: len(spans), Counters: map[string]int64{}}
 	var cpu, live, resident, files float64
 	for _, s := range spans {
-		r.Machines += s.Nodes
+		r.Nodes += s.Nodes
 		cpu, live, resident, files = cpu+s.CPU/s.Seconds, live+s.Live, resident+s.Resident, files+float64(s.Files)
-		r.MostCPU = max(r.MostCPU, s.CPU/s.Seconds/float64(s.Nodes))
-		r.MostMB = max(r.MostMB, s.Resident/float64(s.Nodes)/1e6)
+		r.MaxCPU = max(r.MaxCPU, s.CPU/s.Seconds/float64(s.Nodes))
+		r.MaxResidentMB = max(r.MaxResidentMB, s.Resident/float64(s.Nodes)/1e6)
 		in, out, list := s.Flows["in"], s.Flows["out"], s.Flows["list"]
 		r.In.merge(in)
 		r.Out.merge(out)
@@ -822,13 +824,13 @@
 			}
 		}
 	}
-	n := float64(r.Machines)
-	r.CPU, r.Live, r.Resident, r.Files = round(cpu/n), round(live/n/1e6), round(resident/n/1e6), round(files/n)
-	r.MostCPU, r.MostMB = round(r.MostCPU), round(r.MostMB)
+	n := float64(r.Nodes)
+	r.CPU, r.LiveMB, r.ResidentMB, r.Descriptors = round(cpu/n), round(live/n/1e6), round(resident/n/1e6), round(files/n)
+	r.MaxCPU, r.MaxResidentMB = round(r.MaxCPU), round(r.MaxResidentMB)
 	for _, f := range []*flow{&r.In, &r.Out, &r.List} {
-		*f = flow{round(f.Words / n), round(f.Bytes / n), round(f.MostWords), round(f.MostBytes)}
+		*f = flow{round(f.Messages / n), round(f.Bytes / n), round(f.MaxMessages), round(f.MaxBytes)}
 	}
-	r.Lost = r.Counters["peer_dropped"] + r.Counters["overruns"]
+	r.Dropped = r.Counters["peer_dropped"] + r.Counters["overruns"]
 	return r
 }
 
@@ -842,40 +844,40 @@
 	halves := 0.0
 	for v, made := range f.made {
 		got := slices.Sorted(maps.Values(f.force[v]))
-		if len(got) < f.n+f.o.Control && now.Sub(made) < inForceWithin { // it may come yet
+		if len(got) < f.n+f.o.ControlNodes && now.Sub(made) < inForceWithin { // it may come yet
 			continue
 		}
-		s.Changes.Made++
+		s.Changes.Count++
 		for _, i := range f.place.all() {
 			if _, ok := f.force[v][i]; !ok && !f.gone[i] && now.Sub(f.back[i]) >= inForceWithin {
-				s.Changes.Never++
+				s.Changes.Missing++
 			}
 		}
 		if len(got) > 0 {
 			halves += got[at(len(got), 0.5)].Seconds()
-			s.Changes.Most = max(s.Changes.Most, round(got[at(len(got), 0.99)].Seconds()))
-			s.Changes.All = max(s.Changes.All, round(got[len(got)-1].Seconds()))
+			s.Changes.P99 = max(s.Changes.P99, round(got[at(len(got), 0.99)].Seconds()))
+			s.Changes.Max = max(s.Changes.Max, round(got[len(got)-1].Seconds()))
 		}
 	}
-	if s.Changes.Made > 0 {
-		s.Changes.Half = round(halves / float64(s.Changes.Made))
+	if s.Changes.Count > 0 {
+		s.Changes.Median = round(halves / float64(s.Changes.Count))
 	}
-	s.Units.Kind, s.Units.Whole = f.traffic().Kind, unitsEach*f.n
-	s.Units.Most = mostInASecond(f.units)
+	s.Units.Kind, s.Units.Limit = f.traffic().Kind, unitsEach*f.n
+	s.Units.MaxPerSecond = mostInASecond(f.units)
 	s.Clients = f.clients.counts()
 	s.Targets = f.targets()
 	elsewhere := 0
 	for k, n := range keepers {
-		if f.o.Control == 0 && k >= 0 && !f.alone[k] {
+		if f.o.ControlNodes == 0 && k >= 0 && !f.alone[k] {
 			elsewhere += n
 		}
 	}
 	s.Notes = append(s.Notes, "at the end "+whom(keepers))
 	switch {
 	case len(f.faults) > 0:
-		s.Void = f.faults[0]
-	case s.Late > lateMost || s.Looks > lateLooks:
-		s.Void = fmt.Sprintf("the run was %.0f ms late at most, and over %v at %g of its looks", s.Late, lateLook, s.Looks)
+		s.InvalidReason = f.faults[0]
+	case s.MaxDelayMS > lateMost || s.LateSampleRatio > lateLooks:
+		s.InvalidReason = fmt.Sprintf("the run was %.0f ms late at most, and over %v at %g of its looks", s.MaxDelayMS, lateLook, s.LateSampleRatio)
 	case elsewhere > f.n/100: // what that costs is counted at nodes that lead nothing
 		s.Notes = append(s.Notes, fmt.Sprintf("%d nodes ask one that shares its process", elsewhere))
 	}
@@ -912,9 +914,9 @@
 func (f *fleet) targets() (all []Target) {
 	s := f.seen
 	add := func(what string, got, limit float64) {
-		t := Target{What: what, Got: round(got), Limit: limit, Holds: got <= limit}
+		t := Target{Name: what, Value: round(got), Limit: limit, Met: got <= limit}
 		if limit > 0 {
-			t.Factor = round(got / limit)
+			t.Ratio = round(got / limit)
 		}
 		all = append(all, t)
 	}
@@ -922,30 +924,30 @@
 		r, ok := s.Roles[role]
 		if !ok {
 			continue
-		} else if f.o.Control > 0 && role != "node" {
-			add(role+", a control machine: cores", r.MostCPU, controlCores)
+		} else if f.o.ControlNodes > 0 && role != "node" {
+			add(role+", a control machine: cores", r.MaxCPU, controlCores)
 			continue
 		}
-		add(role+": cores", r.MostCPU, nodeCores)
-		memory := r.Live
+		add(role+": cores", r.MaxCPU, nodeCores)
+		memory := r.LiveMB
 		if role != "node" { // it has the process for itself
-			memory = r.Resident
+			memory = r.ResidentMB
 		}
 		add(role+": MB", memory, nodeMB)
-		add(role+": bytes a second from and to other nodes and the list service", r.In.MostBytes+r.Out.MostBytes+r.List.MostBytes, nodeBytes)
+		add(role+": bytes a second from and to other nodes and the list service", r.In.MaxBytes+r.Out.MaxBytes+r.List.MaxBytes, nodeBytes)
 	}
 	if r, ok := s.Roles["real"]; ok {
-		add("real node: MB", r.MostMB, nodeMB)
+		add("real node: MB", r.MaxResidentMB, nodeMB)
 	}
-	add("change in force everywhere: seconds", s.Changes.All, inForceWithin.Seconds())
-	add("change never in force: nodes and changes", float64(s.Changes.Never), 0)
+	add("change in force everywhere: seconds", s.Changes.Max, inForceWithin.Seconds())
+	add("change never in force: nodes and changes", float64(s.Changes.Missing), 0)
 	switch f.o.Scenario {
 	case "zone", "region":
-		add("most words in a second after the return over the mean, at any receiver", s.Peak.Times, peakTimes)
+		add("most words in a second after the return over the mean, at any receiver", s.Peak.Ratio, peakTimes)
 	case "steady", "restarts", "leader": // who leads is not to be worse there than where it dies
-		add("busy nodes without a grant, 99 in 100: seconds", s.Units.Gap, withoutGrants)
+		add("busy nodes without a grant, 99 in 100: seconds", s.Units.GapP99, withoutGrants)
 	}
-	add("units taken over the whole in any second", math.Max(0, float64(s.Units.Most-s.Units.Whole)), 0)
+	add("units taken over the whole in any second", math.Max(0, float64(s.Units.MaxPerSecond-s.Units.Limit)), 0)
 	return all
 }
 
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -24,13 +24,13 @@
 		t.Fatal(err)
 	}
 	f := r.Fleets[0]
-	if f.Void != "" && !strings.HasPrefix(f.Void, "the run was ") {
-		t.Fatal(f.Void)
+	if f.InvalidReason != "" && !strings.HasPrefix(f.InvalidReason, "the run was ") {
+		t.Fatal(f.InvalidReason)
 	}
 	if !f.Settled {
 		t.Errorf("not all followed the list and one keeper: %v", f.Notes)
 	}
-	if f.Units.Taken == 0 || f.Units.Most > f.Units.Whole {
+	if f.Units.Taken == 0 || f.Units.MaxPerSecond > f.Units.Limit {
 		t.Errorf("units: %+v", f.Units)
 	}
 	return f
@@ -39,14 +39,14 @@
 // Two hundred hollow nodes and three real ones are one fleet: all follow one list and one keeper, each counts in its role, what all
 // take together is within the whole, and clients stand at the real ones.
 func TestHollowAndRealNodesAreOneFleet(t *testing.T) {
-	f := play(t, Options{Nodes: []int{203}, Real: 3, Seed: 1, For: 6 * time.Second, Cut: time.Second, Scenario: "steady"})
+	f := play(t, Options{Nodes: []int{203}, RealNodes: 3, Seed: 1, Duration: 6 * time.Second, OutageDuration: time.Second, Scenario: "steady"})
 	machines := map[string]int{}
 	for name, r := range f.Roles {
-		machines[name] = r.Machines
-		if r.CPU <= 0 || r.Resident <= 0 || r.Files < 3 {
+		machines[name] = r.Nodes
+		if r.CPU <= 0 || r.ResidentMB <= 0 || r.Descriptors < 3 {
 			t.Errorf("%s: nothing was used: %+v", name, r)
 		}
-		if name != "list" && (r.In.Words <= 0 || r.In.Bytes <= r.In.Words || r.Out.Bytes <= r.Out.Words || r.In.MostBytes < r.In.Bytes) {
+		if name != "list" && (r.In.Messages <= 0 || r.In.Bytes <= r.In.Messages || r.Out.Bytes <= r.Out.Messages || r.In.MaxBytes < r.In.Bytes) {
 			t.Errorf("%s: words and bytes: %+v %+v", name, r.In, r.Out)
 		}
 	}
@@ -64,7 +64,7 @@
 	said, heard := 0.0, 0.0
 	for _, name := range []string{"node", "spare", "leader", "real"} {
 		r := f.Roles[name]
-		said, heard = said+r.Out.Words*float64(r.Machines), heard+r.In.Words*float64(r.Machines)
+		said, heard = said+r.Out.Messages*float64(r.Nodes), heard+r.In.Messages*float64(r.Nodes)
 	}
 	if math.Abs(said-heard) > 0.1*said {
 		t.Errorf("%.0f words were said a second, %.0f heard", said, heard)
@@ -76,23 +76,23 @@
 
 // A region that is cut off hears nothing from outside, and is told of the changes it has missed once it is back.
 func TestARegionComesBack(t *testing.T) {
-	f := play(t, Options{Nodes: []int{103}, Real: 3, Seed: 2, For: 12 * time.Second, Cut: 6 * time.Second, Scenario: "region"})
+	f := play(t, Options{Nodes: []int{103}, RealNodes: 3, Seed: 2, Duration: 12 * time.Second, OutageDuration: 6 * time.Second, Scenario: "region"})
 	if !slices.ContainsFunc(f.Notes, func(n string) bool { return strings.HasSuffix(n, "endpoint watch broken") }) {
 		t.Errorf("nobody missed the list service: %v", f.Notes)
 	}
-	if f.Changes.Made == 0 || f.Changes.Never > 0 {
+	if f.Changes.Count == 0 || f.Changes.Missing > 0 {
 		t.Errorf("changes: %+v", f.Changes)
 	}
-	if f.Peak.Times == 0 {
+	if f.Peak.Ratio == 0 {
 		t.Error("nothing came after the return")
 	}
 }
 
 // Below control machines nobody knows all nodes: each follows one control machine, these share the work of all, and the whole stays whole.
 func TestNodesBelowControlMachinesAreOneFleet(t *testing.T) {
-	f := play(t, Options{Nodes: []int{203}, Real: 3, Control: 5, Seed: 3, For: 6 * time.Second, Cut: time.Second, Scenario: "steady"})
+	f := play(t, Options{Nodes: []int{203}, RealNodes: 3, ControlNodes: 5, Seed: 3, Duration: 6 * time.Second, OutageDuration: time.Second, Scenario: "steady"})
 	control := f.Roles["control"]
-	if control.Machines != 4 || f.Roles["leader"].Machines != 1 || f.Roles["node"].Machines != 200 {
+	if control.Nodes != 4 || f.Roles["leader"].Nodes != 1 || f.Roles["node"].Nodes != 200 {
 		t.Errorf("machines: %+v", f.Roles)
 	}
 	if n := control.Counters["budget_children"] + f.Roles["leader"].Counters["budget_children"]; n < 190 || n > 203 {
@@ -116,23 +116,23 @@
 	if got := mostInASecond(steps); got != 206 {
 		t.Errorf("%d in the second with seven at once", got)
 	}
-	r := &Result{Fleets: []*Fleet{{Targets: []Target{{Holds: false}}}, {Targets: []Target{{Holds: true}, {Holds: true}}}}}
-	if !r.Holds() || r.Void() != "" {
+	r := &Result{Fleets: []*Fleet{{Targets: []Target{{Met: false}}}, {Targets: []Target{{Met: true}, {Met: true}}}}}
+	if !r.TargetsMet() || r.InvalidReason() != "" {
 		t.Error("only the greatest size is held against the targets")
 	}
-	r.Fleets[1].Targets[1].Holds = false
-	r.Fleets[0].Void = "late"
-	if r.Holds() || r.Void() == "" {
+	r.Fleets[1].Targets[1].Met = false
+	r.Fleets[0].InvalidReason = "late"
+	if r.TargetsMet() || r.InvalidReason() == "" {
 		t.Error("a target that does not hold, or a void size, goes unseen")
 	}
 	f := newFleet(Options{Scenario: "leader"}, 100)
-	f.seen.Roles["node"] = Role{MostCPU: 0.03, Live: 100, In: flow{MostBytes: 8000}, Out: flow{MostBytes: 5000}, List: flow{MostBytes: 2000}}
-	f.seen.Units = Units{Whole: 400, Most: 401, Gap: 4.1}
-	f.seen.Changes = Changes{All: 14.1, Never: 1}
+	f.seen.Roles["node"] = Role{MaxCPU: 0.03, LiveMB: 100, In: flow{MaxBytes: 8000}, Out: flow{MaxBytes: 5000}, List: flow{MaxBytes: 2000}}
+	f.seen.Units = UnitUsage{Limit: 400, MaxPerSecond: 401, GapP99: 4.1}
+	f.seen.Changes = ChangeLatency{Max: 14.1, Missing: 1}
 	var over []string
 	for _, x := range f.targets() {
-		if !x.Holds {
-			over = append(over, x.What)
+		if !x.Met {
+			over = append(over, x.Name)
 		}
 	}
 	if len(over) != 6 { // cores, bytes, in force, never, grants, units
@@ -144,21 +144,21 @@
 func TestSlopes(t *testing.T) {
 	r := &Result{}
 	for _, n := range []int{300, 1000, 3000} {
-		r.Fleets = append(r.Fleets, &Fleet{Nodes: n, Roles: map[string]Role{"leader": {CPU: float64(n) / 1000, Files: 13, In: flow{Words: float64(n * n)}}}})
+		r.Fleets = append(r.Fleets, &Fleet{Nodes: n, Roles: map[string]Role{"leader": {CPU: float64(n) / 1000, Descriptors: 13, In: flow{Messages: float64(n * n)}}}})
 	}
 	if len(r.slopes()) > 0 {
 		t.Error("slopes through three sizes")
 	}
-	r.Fleets = append(r.Fleets, &Fleet{Nodes: 5700, Roles: map[string]Role{"leader": {CPU: 5.7, Files: 13, In: flow{Words: 5700 * 5700}}}})
+	r.Fleets = append(r.Fleets, &Fleet{Nodes: 5700, Roles: map[string]Role{"leader": {CPU: 5.7, Descriptors: 13, In: flow{Messages: 5700 * 5700}}}})
 	want := map[string]scaling.Verdict{
 		"cores": scaling.Linear, "descriptors": scaling.Constant, "words in": scaling.Superlinear,
 	}
 	for _, s := range r.slopes() {
-		if v, ok := want[s.What]; ok && v != s.Verdict {
-			t.Errorf("%s: %s, not %s", s.What, s.Verdict, v)
+		if v, ok := want[s.Figure]; ok && v != s.Verdict {
+			t.Errorf("%s: %s, not %s", s.Figure, s.Verdict, v)
 		}
-		delete(want, s.What)
-		if s.What == "cores" && math.Abs(s.Slope-0.001) > 1e-6 {
+		delete(want, s.Figure)
+		if s.Figure == "cores" && math.Abs(s.Slope-0.001) > 1e-6 {
 			t.Errorf("slope of the cores: %g", s.Slope)
 		}
 	}
@@ -200,7 +200,7 @@
 }
 
 func TestLinks(t *testing.T) {
-	l := newLinks(Links{Zone: 1, Region: 2, Regions: 3})
+	l := newLinks(Links{WithinZone: 1, WithinRegion: 2, BetweenRegions: 3})
 	if zoneOf(17+5) != 5 || regionOf(0) != 0 || regionOf(16) != 4 {
 		t.Fatal("zones and regions")
 	}
--- a/lab/scale/slopes.go
+++ b/lab/scale/slopes.go
@@ -9,8 +9,8 @@
 
 // Slope tells how a figure of a role grows with the nodes.
 type Slope struct {
-	Role string `json:"role"`
-	What string `json:"what"`
+	Role   string `json:"role"`
+	Figure string `json:"what"`
 	scaling.Model
 }
 
@@ -33,15 +33,15 @@
 			add(name, what, func(f *Fleet) float64 { return value(f.Roles[name]) })
 		}
 		of("cores", func(r Role) float64 { return r.CPU })
-		of("resident MB", func(r Role) float64 { return r.Resident })
-		of("descriptors", func(r Role) float64 { return r.Files })
+		of("resident MB", func(r Role) float64 { return r.ResidentMB })
+		of("descriptors", func(r Role) float64 { return r.Descriptors })
 		if name != "list" {
-			of("words in", func(r Role) float64 { return r.In.Words })
+			of("words in", func(r Role) float64 { return r.In.Messages })
 			of("bytes in", func(r Role) float64 { return r.In.Bytes })
 			of("bytes out", func(r Role) float64 { return r.Out.Bytes })
 		}
 	}
-	add("all", "change in force at 99%: s", func(f *Fleet) float64 { return f.Changes.Most })
-	add("all", "change in force at all: s", func(f *Fleet) float64 { return f.Changes.All })
+	add("all", "change in force at 99%: s", func(f *Fleet) float64 { return f.Changes.P99 })
+	add("all", "change in force at all: s", func(f *Fleet) float64 { return f.Changes.Max })
 	return all
 }
--- a/lab/scale/trouble.go
+++ b/lab/scale/trouble.go
@@ -11,7 +11,7 @@
 
 // happen is the scenario: it goes on for the time that is counted, and for as long as its trouble lasts.
 func (f *fleet) happen() {
-	calm := f.o.For / 3 // before the trouble, for the means; and as long after it
+	calm := f.o.Duration / 3 // before the trouble, for the means; and as long after it
 	switch f.o.Scenario {
 	case "restarts":
 		f.restarts()
@@ -23,7 +23,7 @@
 		f.sleep(2 * calm)
 		return
 	case "steady":
-		f.sleep(f.o.For)
+		f.sleep(f.o.Duration)
 		return
 	}
 	f.sleep(calm)
@@ -31,20 +31,20 @@
 	case "zone":
 		lost := f.in(func(n int) bool { return zoneOf(n) == lostZone })
 		f.die(lost)
-		f.sleep(f.o.Cut)
+		f.sleep(f.o.OutageDuration)
 		f.mark()
 		f.revive(lost)
 	case "region":
 		cut := f.in(func(n int) bool { return regionOf(zoneOf(n)) == cutRegion })
 		f.cut(&apart{Regions: []int{cutRegion}})
-		f.sleep(f.o.Cut)
+		f.sleep(f.o.OutageDuration)
 		f.mark()
 		f.cameBack(cut)
 		f.cut(&apart{})
 	case "cold":
 		all := f.in(func(int) bool { return true })
 		f.die(all)
-		f.sleep(f.o.Cut)
+		f.sleep(f.o.OutageDuration)
 		f.mark()
 		f.revive(all)
 	}
@@ -189,7 +189,7 @@
 		}
 	}
 	for i, n := range nodes {
-		if !f.sleep(time.Until(begun.Add(f.o.For * 2 / 3 * time.Duration(i) / time.Duration(len(nodes))))) {
+		if !f.sleep(time.Until(begun.Add(f.o.Duration * 2 / 3 * time.Duration(i) / time.Duration(len(nodes))))) {
 			return
 		}
 		f.cameBack([]int{n})
@@ -205,7 +205,7 @@
 			}()
 		}
 	}
-	f.sleep(time.Until(begun.Add(f.o.For)))
+	f.sleep(time.Until(begun.Add(f.o.Duration)))
 }
 
 // killLeader kills the process of whoever leads.
