--- a/cmd/brassmux/internal/cli/scale_output.go
+++ b/cmd/brassmux/internal/cli/scale_output.go
@@ -19,7 +19,8 @@
 		if role, ok := f.Roles[name]; ok {
 			fmt.Fprintf(table, "  %s\t%d\t%g (%g)\t%g\t%g\t%g\t%g\t%g\t%g (%g)\t%g (%g)\t%g\n",
 				name, role.Nodes, role.CPU, role.MaxCPU, role.LiveMB, role.ResidentMB, role.Descriptors,
-				role.In.Messages, role.Out.Messages, role.In.Bytes, role.In.MaxBytes, role.Out.Bytes, role.Out.MaxBytes, role.List.Bytes)
+				role.In.Messages, role.Out.Messages, role.In.Bytes, role.In.MaxBytes,
+				role.Out.Bytes, role.Out.MaxBytes, role.List.Bytes)
 		}
 	}
 	if err := table.Flush(); err != nil {
