--- a/lab/scale/fleet.go
+++ b/lab/scale/fleet.go
@@ -13,42 +13,44 @@
 	"brassmux/lab/emulator"
 )
 
-// Zones and regions that nodes are spread over. Node i is in zone i modulo Zones.
+// Zones and Regions are the numbers of zones and regions that nodes are spread over. Node i is in zone i modulo Zones.
 const (
 	Zones   = 17
 	Regions = 5
 )
 
-// place says how the machines of a fleet are numbered: nodes from 0, control machines from the next multiple of Zones, so that they are spread
-// over the zones in the same way.
-type place struct {
-	Nodes    int `json:"nodes"`
-	Control  int `json:"control"`  // control machines
-	Port     int `json:"port"`     // of all hollow machines' words to others
-	Children int `json:"children"` // and of control machines' words to nodes
+// topology describes how the nodes of a fleet are numbered: ordinary nodes from 0, control nodes from the next
+// multiple of Zones, so that both are spread over the zones in the same way.
+type topology struct {
+	Nodes        int `json:"nodes"`
+	ControlNodes int `json:"control"`  // number of control nodes
+	PeerPort     int `json:"port"`     // UDP port of all emulated nodes for their peers
+	ChildPort    int `json:"children"` // UDP port of emulated control nodes for ordinary nodes
 }
 
-func (p place) first() int { return (p.Nodes + Zones - 1) / Zones * Zones }
+// firstControlNode returns the index of the first control node.
+func (t topology) firstControlNode() int { return (t.Nodes + Zones - 1) / Zones * Zones }
 
-// is tells which control machine has a number; -1 for none.
-func (p place) is(number int) int { return max(number-p.first(), -1) }
+// controlIndex returns the position of a node among the control nodes, or -1 if it is an ordinary node.
+func (t topology) controlIndex(index int) int { return max(index-t.firstControlNode(), -1) }
 
-// all gives the numbers of all machines, in order.
-func (p place) all() (numbers []int) {
-	for i := range p.Nodes {
-		numbers = append(numbers, i)
+// allNodes returns the indexes of all nodes, ordinary and control, in ascending order.
+func (t topology) allNodes() (indexes []int) {
+	for i := range t.Nodes {
+		indexes = append(indexes, i)
 	}
-	for c := range p.Control {
-		numbers = append(numbers, p.first()+c)
+	for c := range t.ControlNodes {
+		indexes = append(indexes, t.firstControlNode()+c)
 	}
-	return numbers
+	return indexes
 }
 
-// prefers gives the control machines in a node's order: those of its zone, of its region, and the others, and nodes of one zone take turns.
-func (p place) prefers(node int) (order []int) {
+// controlOrder returns the control nodes in the order in which a node tries them: those of its zone, then of its
+// region, then the others. Nodes of one zone start at different positions, so that load is spread evenly.
+func (t topology) controlOrder(node int) (order []int) {
 	zone := zoneOf(node)
-	far := func(c int) int {
-		switch z := zoneOf(p.first() + c); {
+	distance := func(c int) int {
+		switch z := zoneOf(t.firstControlNode() + c); {
 		case z == zone:
 			return 0
 		case regionOf(z) == regionOf(zone):
@@ -56,16 +58,16 @@
 		}
 		return 2
 	}
-	for want := range 3 {
-		var some []int
-		for c := range p.Control {
-			if far(c) == want {
-				some = append(some, c)
+	for wanted := range 3 {
+		var candidates []int
+		for c := range t.ControlNodes {
+			if distance(c) == wanted {
+				candidates = append(candidates, c)
 			}
 		}
-		if n := len(some); n > 0 {
-			turn := node / Zones % n
-			order = append(append(order, some[turn:]...), some[:turn]...)
+		if count := len(candidates); count > 0 {
+			offset := node / Zones % count
+			order = append(append(order, candidates[offset:]...), candidates[:offset]...)
 		}
 	}
 	return order
@@ -74,92 +76,95 @@
 func zoneOf(node int) int   { return node % Zones }
 func regionOf(zone int) int { return zone * Regions / Zones }
 
-// listZone is where the list service is.
-const listZone = 0
+// listServiceZone is the zone of the list service.
+const listServiceZone = 0
 
-// Links says what the way between two machines is like, each way.
+// Links describes the links between two nodes. Delays are one-way.
 type Links struct {
-	WithinZone     time.Duration `json:"zone"`    // within a zone
-	WithinRegion   time.Duration `json:"region"`  // between zones of a region
-	BetweenRegions time.Duration `json:"regions"` // between regions
-	LossRate       float64       `json:"lose"`    // part of the datagrams between regions that is lost
+	WithinZone     time.Duration `json:"zone"`    // delay between nodes of one zone
+	WithinRegion   time.Duration `json:"region"`  // delay between zones of one region
+	BetweenRegions time.Duration `json:"regions"` // delay between regions
+	LossRate       float64       `json:"lose"`    // fraction of the datagrams between regions that are lost
 }
 
-// links is what the ways are like now. It is shared by many goroutines.
+// links holds the current state of all links. It is safe for concurrent use.
 type links struct {
 	Links
-	apart atomic.Pointer[apart]
+	partition atomic.Pointer[partition]
 }
 
-// apart says which are cut off: no way leads from there to any other place.
-type apart struct {
+// partition lists the zones and regions that are cut off from all others. Traffic within them continues.
+type partition struct {
 	Zones   []int `json:"zones,omitempty"`
 	Regions []int `json:"regions,omitempty"`
 }
 
-func newLinks(l Links) *links {
-	n := &links{Links: l}
-	n.apart.Store(&apart{})
-	return n
+func newLinks(properties Links) *links {
+	created := &links{Links: properties}
+	created.partition.Store(&partition{})
+	return created
 }
 
-// between is what the way between two zones is like now.
-func (l *links) between(a, b int) (delay time.Duration, lose float64, cut bool) {
-	if a == b {
+// between returns the current one-way delay and loss rate between two zones, and whether the link is blocked.
+func (l *links) between(zoneA, zoneB int) (delay time.Duration, lossRate float64, blocked bool) {
+	if zoneA == zoneB {
 		return l.WithinZone, 0, false
 	}
-	off, ra, rb := l.apart.Load(), regionOf(a), regionOf(b)
-	cut = slices.Contains(off.Zones, a) || slices.Contains(off.Zones, b) ||
-		ra != rb && (slices.Contains(off.Regions, ra) || slices.Contains(off.Regions, rb))
-	if ra == rb {
-		return l.WithinRegion, 0, cut
+	partition, regionA, regionB := l.partition.Load(), regionOf(zoneA), regionOf(zoneB)
+	blocked = slices.Contains(partition.Zones, zoneA) || slices.Contains(partition.Zones, zoneB) ||
+		regionA != regionB &&
+			(slices.Contains(partition.Regions, regionA) || slices.Contains(partition.Regions, regionB))
+	if regionA == regionB {
+		return l.WithinRegion, 0, blocked
 	}
-	return l.BetweenRegions, l.LossRate, cut
+	return l.BetweenRegions, l.LossRate, blocked
 }
 
-// datagram is what becomes of one between two zones.
-func (l *links) datagram(from, to int) (after time.Duration, ok bool) {
-	after, lose, cut := l.between(from, to)
-	return after, !cut && (lose == 0 || rand.Float64() >= lose)
+// datagramDelay returns the delay of a datagram between two zones, and whether it arrives.
+func (l *links) datagramDelay(from, to int) (delay time.Duration, ok bool) {
+	delay, lossRate, blocked := l.between(from, to)
+	return delay, !blocked && (lossRate == 0 || rand.Float64() >= lossRate)
 }
 
-// ways are those of streams between a place and each zone, one way, kept true to what the links are like.
-type ways [Zones]struct{ in, out emulator.Direction }
+// streamLinks shapes the streams between one zone and each other zone, in both directions.
+type streamLinks [Zones]struct{ in, out emulator.Direction }
 
-func (w *ways) set(l *links, at int) {
-	for z := range w {
-		delay, _, cut := l.between(at, z)
+// update applies the current state of the links to the streams of a zone.
+func (s *streamLinks) update(links *links, zone int) {
+	for peerZone := range s {
+		delay, _, blocked := links.between(zone, peerZone)
 		mode := emulator.Pass
-		if cut {
+		if blocked {
 			mode = emulator.Drop
 		}
-		w[z].in.Set(mode, delay)
-		w[z].out.Set(mode, delay)
+		s[peerZone].in.Set(mode, delay)
+		s[peerZone].out.Set(mode, delay)
 	}
 }
 
-// hollowAddr is where a hollow node takes datagrams: each has an address of its own, so that their ports need no agreement.
-func hollowAddr(node, port int) netip.AddrPort {
+// emulatedAddr returns the address at which an emulated node receives datagrams. Each node has its own IP address, so
+// that all can use the same port.
+func emulatedAddr(node, port int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 2, byte(node / 250), byte(node%250 + 1)}), uint16(port))
 }
 
-// hollowNode is whose address it is; -1 for no hollow node's.
-func hollowNode(addr netip.Addr) int {
-	a := addr.Unmap().As4()
-	if a[0] != 127 || a[1] != 2 || a[3] == 0 {
+// emulatedNodeAt returns the index of the emulated node with an address, or -1 if there is none.
+func emulatedNodeAt(addr netip.Addr) int {
+	octets := addr.Unmap().As4()
+	if octets[0] != 127 || octets[1] != 2 || octets[3] == 0 {
 		return -1
 	}
-	return int(a[2])*250 + int(a[3]) - 1
+	return int(octets[2])*250 + int(octets[3]) - 1
 }
 
-// leaders gives who is to do the work of all, first and then in its place: the ranking that the nodes have for the keeper of the
-// budgets. A run in which the nodes say otherwise is void.
-func leaders(nodes int) []int {
-	order := make([]int, nodes)
-	for i := range order {
-		order[i] = i
+// leaderRanking returns the nodes in the order in which they become leader of the budgets. It repeats the ranking of
+// the budget code. Nodes that report another leader are noted at the end of the run.
+func leaderRanking(nodes int) []int {
+	ranking := make([]int, nodes)
+	for i := range ranking {
+		ranking[i] = i
 	}
-	rank := func(i int) uint64 { return xxhash.Sum64([]byte{'k', byte(i >> 8), byte(i)}) }
-	slices.SortFunc(order, func(x, y int) int { return cmp.Or(cmp.Compare(rank(y), rank(x)), cmp.Compare(x, y)) })
-	return order
+	hash := func(i int) uint64 { return xxhash.Sum64([]byte{'k', byte(i >> 8), byte(i)}) }
+	slices.SortFunc(ranking, func(x, y int) int { return cmp.Or(cmp.Compare(hash(y), hash(x)), cmp.Compare(x, y)) })
+	return ranking
 }
--- a/lab/scale/messages.go
+++ b/lab/scale/messages.go
@@ -6,110 +6,113 @@
 	"brassmux/lab/emulator"
 )
 
-// order is what the run tells one of its parts, a line each.
-type order struct {
-	Do    string             `json:"do"`
-	Setup *setup             `json:"setup,omitempty"`
-	Entry *emulator.Endpoint `json:"entry,omitempty"`
-	Apart *apart             `json:"apart,omitempty"`
-	Nodes []int              `json:"nodes,omitempty"`
-	Known json.RawMessage    `json:"known,omitempty"` // the list that nodes which start know
+// command is a request from the coordinator to a worker process, encoded as one line of JSON.
+type command struct {
+	Action    string             `json:"do"`
+	Setup     *setup             `json:"setup,omitempty"`
+	Endpoint  *emulator.Endpoint `json:"entry,omitempty"`
+	Partition *partition         `json:"apart,omitempty"`
+	Nodes     []int              `json:"nodes,omitempty"`
+	KnownList json.RawMessage    `json:"known,omitempty"` // initial endpoint list of nodes that start
 }
 
-// The orders.
+// Actions of commands. Each goes to every worker process that it concerns.
 const (
-	doSetup = "setup" // take what the part is
-	doStart = "start" // start its nodes
-	doSpan  = "span"  // count from now on
-	doEnd   = "end"   // tell what was counted
-	doPut   = "put"   // the list service: a change
-	doApart = "apart" // links are cut, or no more
-	doDie   = "die"   // nodes fall silent at once and stop
-	doBack  = "back"  // those start anew
-	doAgain = "again" // nodes stop in order and start anew
-	doMark  = "mark"  // what comes from now on may be a wave
+	actionSetup            = "setup" // configure the worker
+	actionStart            = "start" // start all nodes of the worker
+	actionBeginMeasurement = "span"  // reset the counts
+	actionEndMeasurement   = "end"   // report what was counted
+	actionUpdateList       = "put"   // list service only: change an endpoint
+	actionPartition        = "apart" // replace the partition of the links
+	actionKill             = "die"   // stop nodes abruptly, as a loss of power does
+	actionRevive           = "back"  // start killed nodes again
+	actionRestart          = "again" // shut nodes down and start them again
+	actionMark             = "mark"  // end the baseline of the load peak and measure the peak from now on
 )
 
-// setup is what a part is.
+// setup configures a worker process.
 type setup struct {
-	Role    string          `json:"role"` // hollow or list
-	Seed    uint64          `json:"seed"`
-	Place   place           `json:"place"`
-	Relays  map[int]string  `json:"relays"` // of the real nodes: where they are reached by hollow ones
-	Numbers []int           `json:"numbers"`
-	Config  json.RawMessage `json:"config"` // of any node
-	Links   Links           `json:"links"`
-	Calls   float64         `json:"calls"` // that the list service works through in a second; 0 for any number
-	Traffic traffic         `json:"traffic"`
-	Known   json.RawMessage `json:"known,omitempty"` // goes before the one of the configuration
+	Role           string          `json:"role"` // "hollow" for emulated nodes, or "list" for the list service
+	Seed           uint64          `json:"seed"`
+	Topology       topology        `json:"place"`
+	RealNodeAddrs  map[int]string  `json:"relays"` // by index: addresses at which emulated nodes reach the real ones
+	Nodes          []int           `json:"numbers"`
+	Config         json.RawMessage `json:"config"` // node configuration that all nodes share
+	Links          Links           `json:"links"`
+	CallsPerSecond float64         `json:"calls"` // capacity of the list service; 0 for unlimited
+	Traffic        traffic         `json:"traffic"`
+	KnownList      json.RawMessage `json:"known,omitempty"` // replaces the endpoint list of the configuration
 }
 
-// traffic is what the clients of a node have it ask of the budgets, drawn: units a second of nodes, a part of which is busier.
+// traffic describes the synthetic load on the budgets: the units that the clients of a node take per second.
 type traffic struct {
-	Kind  string  `json:"kind"`
-	Calm  float64 `json:"calm"`
-	Busy  float64 `json:"busy"`
-	Every int     `json:"every"` // one in so many is busy
+	Kind         string  `json:"kind"`  // kind of budget
+	BaseRate     float64 `json:"calm"`  // units per second of an ordinary node
+	BusyRate     float64 `json:"busy"`  // units per second of a busy node
+	BusyInterval int     `json:"every"` // one in this many nodes of a zone is busy
 }
 
-func (t traffic) busy(node int) bool { return t.Every > 0 && node/Zones%t.Every == 0 }
+// isBusy reports whether a node has the higher rate.
+func (t traffic) isBusy(node int) bool { return t.BusyInterval > 0 && node/Zones%t.BusyInterval == 0 }
 
-// report is what a part tells.
+// report is a message from a worker process to the coordinator.
 type report struct {
-	Did   string   `json:"did"`
-	Err   string   `json:"err,omitempty"`
-	Addr  string   `json:"addr,omitempty"`
-	Up    int      `json:"up,omitempty"` // nodes that serve
-	Force []change `json:"force,omitempty"`
-	Units *units   `json:"units,omitempty"`
-	State *state   `json:"state,omitempty"`
-	Span  *span    `json:"span,omitempty"`
+	Action      string          `json:"did"`
+	Err         string          `json:"err,omitempty"`
+	Addr        string          `json:"addr,omitempty"`
+	Serving     int             `json:"up,omitempty"` // number of serving nodes
+	Changes     []appliedChange `json:"force,omitempty"`
+	Units       *unitCounts     `json:"units,omitempty"`
+	State       *leaderState    `json:"state,omitempty"`
+	Measurement *measurement    `json:"span,omitempty"`
 }
 
-// change is in force at one node: all versions over From and up to To, at Unix nanoseconds.
-type change struct {
+// appliedChange records that a node applied all list versions above From and up to To at a time in Unix nanoseconds.
+type appliedChange struct {
 	Node int   `json:"n"`
 	From int64 `json:"f"`
 	To   int64 `json:"t"`
 	At   int64 `json:"at"`
 }
 
-// unitEvery is the time that units are counted by.
-const unitEvery = 5 // ms
+// unitBucketMS is the length in milliseconds of the time buckets in which units are counted.
+const unitBucketMS = 5
 
-// units were taken, by time from At on, in steps of unitEvery of Unix time.
-type units struct {
-	At int64   `json:"at"`
-	N  []int32 `json:"n"`
+// unitCounts counts the units taken per time bucket. Buckets are numbered by Unix time divided by unitBucketMS.
+type unitCounts struct {
+	FirstBucket int64   `json:"at"`
+	Counts      []int32 `json:"n"`
 }
 
-// state is what the nodes of a part say of the keeper.
-type state struct {
-	Keepers  map[int]int `json:"keepers"`  // nodes by the keeper, or by which of their control machines they ask: its place in their order
-	Followed int         `json:"followed"` // know that most ask theirs, or ask a control machine
+// leaderState summarizes which leader the nodes of a worker process follow.
+type leaderState struct {
+	// NodesByLeader counts nodes by the index of their leader, or -1 if they have none. Nodes below control nodes count
+	// by the position of their current control node in their order.
+	NodesByLeader map[int]int `json:"keepers"`
+	InQuorum      int         `json:"followed"` // nodes whose leader has a quorum, or that follow a control node
 }
 
-// span is what a part has counted over a while. Figures are sums over its nodes, and the most at any of them.
-type span struct {
-	Nodes    int              `json:"nodes"`
-	Seconds  float64          `json:"seconds"`
-	CPU      float64          `json:"cpu"`  // seconds
-	Live     float64          `json:"live"` // bytes
-	Resident float64          `json:"resident"`
-	Files    int              `json:"files"`
-	Late     float64          `json:"late"`  // ms, the most
-	Looks    float64          `json:"looks"` // part of the looks at the clock that were over lateLook late
-	Flows    map[string]flow  `json:"flows"` // in, out, list
-	Gaps     []float64        `json:"gaps"`  // longest without a granted unit, of each busy node
-	Counters map[string]int64 `json:"counters"`
-	Taken    int64            `json:"taken"`
-	Refused  int64            `json:"refused"`
-	Warned   map[string]int   `json:"warned"`
-	Peak     float64          `json:"peak"` // most words in a second after the mark over the mean before it, at any node
-	PeakAt   int              `json:"peak_at"`
+// measurement holds the figures of a worker process over a period: sums over its nodes, or the maximum of any of them.
+type measurement struct {
+	Nodes           int              `json:"nodes"`
+	Seconds         float64          `json:"seconds"`
+	CPU             float64          `json:"cpu"`  // seconds
+	LiveBytes       float64          `json:"live"` // bytes of heap in use after a collection, and of stacks
+	ResidentBytes   float64          `json:"resident"`
+	Descriptors     int              `json:"files"`
+	MaxDelayMS      float64          `json:"late"`  // maximum delay of the process
+	LateSampleRatio float64          `json:"looks"` // fraction of the delay samples above lateThreshold
+	Flows           map[string]flow  `json:"flows"` // "in", "out" and "list"
+	GrantGaps       []float64        `json:"gaps"`  // longest time in seconds without a granted unit, of each busy node
+	Counters        map[string]int64 `json:"counters"`
+	Taken           int64            `json:"taken"`
+	Refused         int64            `json:"refused"`
+	Warnings        map[string]int   `json:"warned"`  // count of warnings by log message
+	PeakRatio       float64          `json:"peak"`    // most messages per second after the mark over the mean before it
+	PeakNode        int              `json:"peak_at"` // node with that peak; -1 for the list service
 }
 
-// flow is words and bytes.
+// flow holds the messages and bytes per second of a node, and their maxima over several nodes.
 type flow struct {
 	Messages    float64 `json:"words"`
 	Bytes       float64 `json:"bytes"`
@@ -117,12 +120,14 @@
 	MaxBytes    float64 `json:"most_bytes"`
 }
 
-func (f *flow) add(words, bytes float64) {
-	f.Messages, f.Bytes = f.Messages+words, f.Bytes+bytes
-	f.MaxMessages, f.MaxBytes = max(f.MaxMessages, words), max(f.MaxBytes, bytes)
+// add adds the rates of one node.
+func (f *flow) add(messages, bytes float64) {
+	f.Messages, f.Bytes = f.Messages+messages, f.Bytes+bytes
+	f.MaxMessages, f.MaxBytes = max(f.MaxMessages, messages), max(f.MaxBytes, bytes)
 }
 
-func (f *flow) merge(o flow) {
-	f.Messages, f.Bytes = f.Messages+o.Messages, f.Bytes+o.Bytes
-	f.MaxMessages, f.MaxBytes = max(f.MaxMessages, o.MaxMessages), max(f.MaxBytes, o.MaxBytes)
+// merge adds the rates of other nodes.
+func (f *flow) merge(other flow) {
+	f.Messages, f.Bytes = f.Messages+other.Messages, f.Bytes+other.Bytes
+	f.MaxMessages, f.MaxBytes = max(f.MaxMessages, other.MaxMessages), max(f.MaxBytes, other.MaxBytes)
 }
--- a/lab/scale/part.go
+++ b/lab/scale/part.go
@@ -33,339 +33,349 @@
 // RunWorker runs one worker process, which emulates nodes or the list service. It executes commands from in until
 // in ends and writes its reports to out.
 func RunWorker(in io.Reader, out io.Writer) error {
-	p := &part{out: json.NewEncoder(out)}
-	orders := bufio.NewScanner(in)
-	orders.Buffer(nil, 1<<24)
-	go p.clock.watch(nil)
-	for orders.Scan() {
-		var o order
-		if err := json.Unmarshal(orders.Bytes(), &o); err != nil {
+	w := &worker{out: json.NewEncoder(out)}
+	commands := bufio.NewScanner(in)
+	commands.Buffer(nil, 1<<24)
+	go w.delays.run(nil)
+	for commands.Scan() {
+		var cmd command
+		if err := json.Unmarshal(commands.Bytes(), &cmd); err != nil {
 			return err
 		}
-		if err := p.take(o); err != nil {
-			p.tell(report{Did: o.Do, Err: err.Error()})
+		if err := w.execute(cmd); err != nil {
+			w.send(report{Action: cmd.Action, Err: err.Error()})
 			return err
 		}
 	}
-	return orders.Err()
+	return commands.Err()
 }
 
-type part struct {
+// worker is the state of a worker process that does not depend on its role.
+type worker struct {
 	mu   sync.Mutex
 	out  *json.Encoder
 	role interface {
-		take(o order) error
-		counted(s *span) // fills in what it counts
+		execute(cmd command) error
+		fill(m *measurement) // sets the figures that depend on the role
 	}
-	clock lateness
-	begun time.Time
-	began process.Usage
+	delays     delayMonitor
+	startedAt  time.Time
+	startUsage process.Usage
 }
 
-func (p *part) tell(r report) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.out.Encode(r)
+// send writes a report to the coordinator. It is safe for concurrent use.
+func (w *worker) send(r report) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.out.Encode(r)
 }
 
-func (p *part) take(o order) error {
-	switch o.Do {
-	case doSetup:
-		runtime.GOMAXPROCS(2) // as on a small machine; and the collector of each is not to take them all
+// execute carries out a command, or passes it to the role.
+func (w *worker) execute(cmd command) error {
+	switch cmd.Action {
+	case actionSetup:
+		runtime.GOMAXPROCS(2) // as on a small machine; it also keeps each garbage collector from using all cores
 		var err error
-		if o.Setup.Role == "list" {
-			p.role, err = newListPart(p, o.Setup)
+		if cmd.Setup.Role == "list" {
+			w.role, err = newListWorker(w, cmd.Setup)
 		} else {
-			p.role, err = newHollowPart(p, o.Setup)
+			w.role, err = newNodeWorker(w, cmd.Setup)
 		}
 		return err
-	case doSpan:
-		p.began, p.begun = use(), time.Now()
-		p.clock.begin()
-	case doEnd:
-		now := use()
-		s := &span{Seconds: time.Since(p.begun).Seconds(), CPU: (now.CPU - p.began.CPU).Seconds(), Resident: now.Resident, Files: now.Descriptors,
-			Flows: map[string]flow{}}
-		s.Late, s.Looks = p.clock.was()
-		p.role.counted(s)
+	case actionBeginMeasurement:
+		w.startUsage, w.startedAt = ownUsage(), time.Now()
+		w.delays.reset()
+	case actionEndMeasurement:
+		usage := ownUsage()
+		m := &measurement{Seconds: time.Since(w.startedAt).Seconds(), CPU: (usage.CPU - w.startUsage.CPU).Seconds(),
+			ResidentBytes: usage.Resident, Descriptors: usage.Descriptors, Flows: map[string]flow{}}
+		m.MaxDelayMS, m.LateSampleRatio = w.delays.results()
+		w.role.fill(m)
 		runtime.GC()
 		var mem runtime.MemStats
 		runtime.ReadMemStats(&mem)
-		s.Live = float64(mem.HeapAlloc + mem.StackInuse)
-		p.tell(report{Did: o.Do, Span: s})
+		m.LiveBytes = float64(mem.HeapAlloc + mem.StackInuse)
+		w.send(report{Action: cmd.Action, Measurement: m})
 		return nil
 	}
-	return p.role.take(o)
+	return w.role.execute(cmd)
 }
 
-// clockEvery is how often a process looks whether it is late, lateLook by how much such a look counts: who wants a unit waits for it as long.
+// delaySampleInterval is the time between two samples of the delay of a process. A sample above lateThreshold counts
+// as late: this is also the timeout of a request for a unit.
 const (
-	clockEvery = 20 * time.Millisecond
-	lateLook   = unitWait
+	delaySampleInterval = 20 * time.Millisecond
+	lateThreshold       = unitTimeout
 )
 
-// lateness is how late a process is.
-type lateness struct {
-	mu          sync.Mutex
-	most        time.Duration
-	looks, late float64
+// delayMonitor measures how much later than planned a sleeping goroutine of the process resumes.
+type delayMonitor struct {
+	mu                   sync.Mutex
+	maxDelay             time.Duration
+	samples, lateSamples float64
 }
 
-// watch looks until over is closed.
-func (l *lateness) watch(over <-chan struct{}) {
+// run takes samples until done is closed.
+func (m *delayMonitor) run(done <-chan struct{}) {
 	for {
-		begun := time.Now()
+		start := time.Now()
 		select {
-		case <-over:
+		case <-done:
 			return
-		case <-time.After(clockEvery):
+		case <-time.After(delaySampleInterval):
 		}
-		by := time.Since(begun) - clockEvery
-		l.mu.Lock()
-		l.most = max(l.most, by)
-		if l.looks++; by > lateLook {
-			l.late++
+		delay := time.Since(start) - delaySampleInterval
+		m.mu.Lock()
+		m.maxDelay = max(m.maxDelay, delay)
+		if m.samples++; delay > lateThreshold {
+			m.lateSamples++
 		}
-		l.mu.Unlock()
+		m.mu.Unlock()
 	}
 }
 
-func (l *lateness) begin() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.most, l.looks, l.late = 0, 0, 0
+// reset discards all samples.
+func (m *delayMonitor) reset() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.maxDelay, m.samples, m.lateSamples = 0, 0, 0
 }
 
-// was gives the most in milliseconds, and the part of the looks that were late.
-func (l *lateness) was() (most, part float64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return float64(l.most.Microseconds()) / 1000, l.late / max(l.looks, 1)
-}
-
-// use is what this process has used, its processor time to the microsecond.
-func use() process.Usage {
-	var r syscall.Rusage
-	syscall.Getrusage(syscall.RUSAGE_SELF, &r)
-	u := process.ReadUsage("self")
-	u.CPU = time.Duration(r.Utime.Nano() + r.Stime.Nano())
-	return u
-}
-
-// listPart is the list service.
-type listPart struct {
-	p     *part
-	list  *emulator.ListService
-	links *links
-	ways  ways // as the real nodes' zones see them; hollow nodes shape their own
-	real  map[int]bool
-	calls atomic.Int64
-	fails atomic.Int64
-	told  atomic.Int64
-	mu    sync.Mutex
-	wave  wave
-}
-
-func newListPart(p *part, s *setup) (*listPart, error) {
-	l := &listPart{p: p, links: newLinks(s.Links), real: map[int]bool{}}
-	for n := range s.Relays {
-		l.real[n] = true
-	}
-	config := emulator.ListConfig{CallsPerSecond: s.Calls, QueueTimeout: 2 * time.Second}
-	l.list = emulator.NewListService(config, func(emulator.Notification) { l.told.Add(1) },
-		func(c emulator.Call) {
+// results returns the maximum delay in milliseconds and the fraction of the samples that were late.
+func (m *delayMonitor) results() (maxDelayMS, lateRatio float64) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return float64(m.maxDelay.Microseconds()) / 1000, m.lateSamples / max(m.samples, 1)
+}
+
+// ownUsage returns the resource usage of this process. The CPU time is exact to the microsecond.
+func ownUsage() process.Usage {
+	var rusage syscall.Rusage
+	syscall.Getrusage(syscall.RUSAGE_SELF, &rusage)
+	usage := process.ReadUsage("self")
+	usage.CPU = time.Duration(rusage.Utime.Nano() + rusage.Stime.Nano())
+	return usage
+}
+
+// listWorker is the role of the process that runs the list service.
+type listWorker struct {
+	worker        *worker
+	list          *emulator.ListService
+	links         *links
+	streamLinks   streamLinks // of real nodes; emulated nodes shape their own streams
+	isReal        map[int]bool
+	calls         atomic.Int64
+	failedCalls   atomic.Int64
+	notifications atomic.Int64
+	mu            sync.Mutex
+	peak          peakMeter
+}
+
+func newListWorker(w *worker, setup *setup) (*listWorker, error) {
+	l := &listWorker{worker: w, links: newLinks(setup.Links), isReal: map[int]bool{}}
+	for index := range setup.RealNodeAddrs {
+		l.isReal[index] = true
+	}
+	config := emulator.ListConfig{CallsPerSecond: setup.CallsPerSecond, QueueTimeout: 2 * time.Second}
+	l.list = emulator.NewListService(config, func(emulator.Notification) { l.notifications.Add(1) },
+		func(call emulator.Call) {
 			l.calls.Add(1)
-			if c.Failed {
-				l.fails.Add(1)
+			if call.Failed {
+				l.failedCalls.Add(1)
 			}
 		})
 	go func() {
 		for range time.Tick(time.Second) {
 			l.mu.Lock()
-			l.wave.second(l.calls.Load(), l.told.Load()+l.calls.Load())
+			l.peak.sample(l.calls.Load(), l.notifications.Load()+l.calls.Load())
 			l.mu.Unlock()
 		}
 	}()
-	l.ways.set(l.links, listZone)
-	var free emulator.Direction
-	if err := l.list.Open(func(n int) (in, out *emulator.Direction) {
-		if !l.real[n] {
-			return &free, &free
+	l.streamLinks.update(l.links, listServiceZone)
+	var unshaped emulator.Direction
+	if err := l.list.Open(func(index int) (in, out *emulator.Direction) {
+		if !l.isReal[index] {
+			return &unshaped, &unshaped
 		}
-		return &l.ways[zoneOf(n)].in, &l.ways[zoneOf(n)].out
+		return &l.streamLinks[zoneOf(index)].in, &l.streamLinks[zoneOf(index)].out
 	}); err != nil {
 		return nil, err
 	}
-	p.tell(report{Did: doSetup, Addr: l.list.Addr()})
+	w.send(report{Action: actionSetup, Addr: l.list.Addr()})
 	return l, nil
 }
 
-func (l *listPart) take(o order) error {
-	switch o.Do {
-	case doPut:
-		l.list.Update(*o.Entry)
-	case doApart:
-		l.links.apart.Store(o.Apart)
-		l.ways.set(l.links, listZone)
-	case doMark:
+func (l *listWorker) execute(cmd command) error {
+	switch cmd.Action {
+	case actionUpdateList:
+		l.list.Update(*cmd.Endpoint)
+	case actionPartition:
+		l.links.partition.Store(cmd.Partition)
+		l.streamLinks.update(l.links, listServiceZone)
+	case actionMark:
 		l.mu.Lock()
-		l.wave.mark()
+		l.peak.mark()
 		l.mu.Unlock()
-	case doStart, doSpan:
+	case actionStart, actionBeginMeasurement:
 		l.calls.Store(0)
-		l.fails.Store(0)
-		l.told.Store(0)
+		l.failedCalls.Store(0)
+		l.notifications.Store(0)
 		l.mu.Lock()
-		l.wave.begin()
+		l.peak.reset()
 		l.mu.Unlock()
 	}
 	return nil
 }
 
-func (l *listPart) counted(s *span) {
-	s.Nodes = 1
-	s.Counters = map[string]int64{"calls": l.calls.Load(), "calls_failed": l.fails.Load(), "told": l.told.Load()}
+// fill sets the figures of the list service.
+func (l *listWorker) fill(m *measurement) {
+	m.Nodes = 1
+	m.Counters = map[string]int64{"calls": l.calls.Load(), "calls_failed": l.failedCalls.Load(),
+		"told": l.notifications.Load()}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s.Peak, s.PeakAt = l.wave.over(), -1
-}
-
-// hollowPart is some hollow nodes.
-type hollowPart struct {
-	p       *part
-	s       *setup
-	links   *links
-	relays  map[netip.AddrPort]int
-	ways    map[int]*ways // by the nodes' zone
-	nodes   []*hollow
-	up      atomic.Int64
-	mu      sync.Mutex
-	changes []change
-	warned  map[string]int
-
-	unitsAt int64
-	units   []int32
-	taken   atomic.Int64
-	refused atomic.Int64
-	overrun int64
-}
-
-// hollow is a node whose clients' traffic is drawn.
-type hollow struct {
-	h      *hollowPart
-	number int
-	node   atomic.Pointer[node.Node]
-	dead   atomic.Bool // nothing goes from it and nothing comes
-	stop   context.CancelFunc
-	ended  chan struct{}
-	conns  sync.Map     // to the list service
-	list   atomic.Int64 // bytes of the list that came
-	busy   bool
-	shared []string // the addresses of all nodes: one copy a process is enough
-
-	// Under h.mu.
-	version  int64
-	keeper   int
-	followed bool
-
-	// The sampler's.
-	before   map[string]int64
-	listed   int64
-	past     map[string]int64 // of the starts before this one
-	wave     wave
-	leased   int64
-	lastUnit time.Time
-	gap      time.Duration
-}
-
-func newHollowPart(p *part, s *setup) (*hollowPart, error) {
-	h := &hollowPart{p: p, s: s, links: newLinks(s.Links), relays: map[netip.AddrPort]int{}, ways: map[int]*ways{}, warned: map[string]int{}}
-	for n, addr := range s.Relays {
-		at, err := netip.ParseAddrPort(addr)
+	m.PeakRatio, m.PeakNode = l.peak.ratio(), -1
+}
+
+// nodeWorker is the role of a process that runs emulated nodes.
+type nodeWorker struct {
+	worker         *worker
+	setup          *setup
+	links          *links
+	realNodeByAddr map[netip.AddrPort]int
+	streamLinks    map[int]*streamLinks // by the zone of the nodes
+	nodes          []*emulatedNode
+	serving        atomic.Int64
+	mu             sync.Mutex
+	changes        []appliedChange
+	warnings       map[string]int
+
+	firstUnitBucket   int64
+	unitCounts        []int32
+	taken             atomic.Int64
+	refused           atomic.Int64
+	socketDropsBefore int64
+}
+
+// emulatedNode runs the control code of a node under synthetic traffic.
+type emulatedNode struct {
+	worker          *nodeWorker
+	index           int
+	node            atomic.Pointer[node.Node]
+	unreachable     atomic.Bool // its links drop all traffic
+	stop            context.CancelFunc
+	stopped         chan struct{}
+	conns           sync.Map     // open connections to the list service
+	listBytes       atomic.Int64 // bytes received from the list service
+	busy            bool
+	sharedNodeAddrs []string // addresses of all nodes, kept once per process
+
+	// Guarded by worker.mu.
+	version   int64
+	leader    int
+	hasQuorum bool
+
+	// Guarded by worker.mu, and used for measurements only.
+	countersBefore  map[string]int64
+	listBytesBefore int64
+	earlierCounters map[string]int64 // sums over the earlier starts of this node
+	peak            peakMeter
+	lastLeased      int64
+	lastGrant       time.Time
+	maxGrantGap     time.Duration
+}
+
+func newNodeWorker(parent *worker, setup *setup) (*nodeWorker, error) {
+	w := &nodeWorker{worker: parent, setup: setup, links: newLinks(setup.Links),
+		realNodeByAddr: map[netip.AddrPort]int{}, streamLinks: map[int]*streamLinks{}, warnings: map[string]int{}}
+	for index, addr := range setup.RealNodeAddrs {
+		addrPort, err := netip.ParseAddrPort(addr)
 		if err != nil {
 			return nil, err
 		}
-		h.relays[at] = n
+		w.realNodeByAddr[addrPort] = index
 	}
-	for _, n := range s.Numbers {
-		if z := zoneOf(n); h.ways[z] == nil {
-			h.ways[z] = &ways{}
-			h.ways[z].set(h.links, z)
+	for _, index := range setup.Nodes {
+		if zone := zoneOf(index); w.streamLinks[zone] == nil {
+			w.streamLinks[zone] = &streamLinks{}
+			w.streamLinks[zone].update(w.links, zone)
 		}
-		h.nodes = append(h.nodes, &hollow{h: h, number: n, keeper: -1, busy: s.Traffic.busy(n)})
+		w.nodes = append(w.nodes,
+			&emulatedNode{worker: w, index: index, leader: -1, busy: setup.Traffic.isBusy(index)})
 	}
-	return h, nil
+	return w, nil
 }
 
-func (h *hollowPart) take(o order) error {
-	switch o.Do {
-	case doStart:
-		for _, n := range h.nodes {
+func (w *nodeWorker) execute(cmd command) error {
+	switch cmd.Action {
+	case actionStart:
+		for _, n := range w.nodes {
 			if err := n.start(); err != nil {
-				return fmt.Errorf("node %d: %w", n.number, err)
+				return fmt.Errorf("node %d: %w", n.index, err)
 			}
 		}
-		for h.up.Load() < int64(len(h.nodes)) {
+		for w.serving.Load() < int64(len(w.nodes)) {
 			time.Sleep(10 * time.Millisecond)
 		}
-		h.p.tell(report{Did: doStart, Up: len(h.nodes)})
-		go h.draw()
-		go h.sample()
-	case doApart:
-		h.links.apart.Store(o.Apart)
-		for z, w := range h.ways {
-			w.set(h.links, z)
-		}
-	case doDie:
-		for _, n := range h.some(o.Nodes) {
-			n.die()
-		}
-	case doBack, doAgain:
-		h.mu.Lock()
-		h.s.Known = o.Known
-		h.mu.Unlock()
+		w.worker.send(report{Action: actionStart, Serving: len(w.nodes)})
+		go w.generateTraffic()
+		go w.runSampler()
+	case actionPartition:
+		w.links.partition.Store(cmd.Partition)
+		for zone, links := range w.streamLinks {
+			links.update(w.links, zone)
+		}
+	case actionKill:
+		for _, n := range w.nodesWithIndex(cmd.Nodes) {
+			n.kill()
+		}
+	case actionRevive, actionRestart:
+		w.mu.Lock()
+		w.setup.KnownList = cmd.KnownList
+		w.mu.Unlock()
 		go func() {
-			for _, n := range h.some(o.Nodes) {
-				if err := n.again(); err != nil {
-					h.p.tell(report{Did: o.Do, Err: fmt.Sprintf("node %d: %v", n.number, err)})
+			for _, n := range w.nodesWithIndex(cmd.Nodes) {
+				if err := n.restart(); err != nil {
+					w.worker.send(report{Action: cmd.Action, Err: fmt.Sprintf("node %d: %v", n.index, err)})
 				}
 			}
 		}()
-	case doMark:
-		h.mu.Lock()
-		for _, n := range h.nodes {
-			n.wave.mark()
-			n.lastUnit, n.gap = time.Now(), 0
-		}
-		h.mu.Unlock()
-	case doSpan:
-		h.mu.Lock()
-		h.taken.Store(0)
-		h.refused.Store(0)
-		for _, n := range h.nodes {
-			n.before, n.listed = n.counters(), n.list.Load()
-			n.wave.begin()
-			n.lastUnit, n.gap = time.Now(), 0
-		}
-		h.overrun = h.overruns()
-		h.mu.Unlock()
+	case actionMark:
+		w.mu.Lock()
+		for _, n := range w.nodes {
+			n.peak.mark()
+			n.lastGrant, n.maxGrantGap = time.Now(), 0
+		}
+		w.mu.Unlock()
+	case actionBeginMeasurement:
+		w.mu.Lock()
+		w.taken.Store(0)
+		w.refused.Store(0)
+		for _, n := range w.nodes {
+			n.countersBefore, n.listBytesBefore = n.counters(), n.listBytes.Load()
+			n.peak.reset()
+			n.lastGrant, n.maxGrantGap = time.Now(), 0
+		}
+		w.socketDropsBefore = w.socketDrops()
+		w.mu.Unlock()
 	}
 	return nil
 }
 
-// some gives those of its nodes that are named.
-func (h *hollowPart) some(numbers []int) (found []*hollow) {
-	for _, n := range h.nodes {
-		if slices.Contains(numbers, n.number) {
+// nodesWithIndex returns the nodes of this process that are among indexes.
+func (w *nodeWorker) nodesWithIndex(indexes []int) (found []*emulatedNode) {
+	for _, n := range w.nodes {
+		if slices.Contains(indexes, n.index) {
 			found = append(found, n)
 		}
 	}
 	return found
 }
 
-// die has the node fall silent, as one that has lost its power does. That it stops in order after it nobody sees.
-func (n *hollow) die() {
-	n.dead.Store(true)
+// kill emulates a loss of power: it drops all traffic of the node before it shuts the node down, so that no peer
+// notices the shutdown.
+func (n *emulatedNode) kill() {
+	n.unreachable.Store(true)
 	n.conns.Range(func(c, _ any) bool {
 		c.(net.Conn).Close()
 		return true
@@ -373,74 +383,79 @@
 	n.stop()
 }
 
-// again starts the node anew, once it has stopped.
-func (n *hollow) again() error {
+// restart shuts the node down and starts it again.
+func (n *emulatedNode) restart() error {
 	n.stop()
-	<-n.ended
-	n.h.mu.Lock()
-	n.past = n.counters()
-	n.h.mu.Unlock()
-	n.dead.Store(false)
+	<-n.stopped
+	n.worker.mu.Lock()
+	n.earlierCounters = n.counters()
+	n.worker.mu.Unlock()
+	n.unreachable.Store(false)
 	return n.start()
 }
 
-// closeWithin is the time in which the goroutines of a node that has stopped have closed its sockets. A process's end closes them at once.
-const closeWithin = 5 * time.Second
+// socketCloseTimeout bounds how long a stopped node may take to close its sockets. Unlike the end of a process, which
+// closes them at once, this depends on the goroutines of the node.
+const socketCloseTimeout = 5 * time.Second
 
-// start makes the node and runs it.
-func (n *hollow) start() error {
-	var c node.Config
-	if err := json.Unmarshal(n.h.s.Config, &c); err != nil {
+// start creates the node and runs it.
+func (n *emulatedNode) start() error {
+	var config node.Config
+	if err := json.Unmarshal(n.worker.setup.Config, &config); err != nil {
 		return err
 	}
-	if first := n.h.nodes[0]; n != first { // flat: of all nodes
-		c.Peers.NodeAddrs = first.shared
-	}
-	n.shared = c.Peers.NodeAddrs
-	zone := zoneOf(n.number)
-	c.Name, c.Listen = "h"+strconv.Itoa(n.number), "127.0.0.1:0"
-	c.Settings.NodeIndex, c.Seed = n.number, strconv.FormatUint(n.h.s.Seed<<20+uint64(n.number)+1, 16)
-	place := n.h.s.Place
-	c.Peers.Listen = hollowAddr(n.number, place.Port).String()
-	if own := place.is(n.number); place.Control > 0 && own >= 0 {
-		c.Peers.ChildListen, c.Peers.ControlIndex = hollowAddr(n.number, place.Children).String(), own
-		for i := range place.Control {
-			c.Peers.NodeAddrs = append(c.Peers.NodeAddrs, hollowAddr(place.first()+i, place.Port).String())
-		}
-	} else if place.Control > 0 {
-		for _, i := range place.prefers(n.number) {
-			c.Peers.ControlAddrs = append(c.Peers.ControlAddrs, hollowAddr(place.first()+i, place.Children).String())
-		}
-	}
-	c.Source = emulator.SourceAddr(n.number).String()
-	c.TestOptions.LogEndpointLists = true
-	n.h.mu.Lock()
-	known := n.h.s.Known
-	n.h.mu.Unlock()
-	if known != nil {
-		c.InitialEndpoints = discovery.EndpointList{}
-		if err := json.Unmarshal(known, &c.InitialEndpoints); err != nil {
+	if firstNode := n.worker.nodes[0]; n != firstNode { // without control nodes, the addresses of all nodes
+		config.Peers.NodeAddrs = firstNode.sharedNodeAddrs
+	}
+	n.sharedNodeAddrs = config.Peers.NodeAddrs
+	zone := zoneOf(n.index)
+	config.Name, config.Listen = "h"+strconv.Itoa(n.index), "127.0.0.1:0"
+	config.Settings.NodeIndex, config.Seed =
+		n.index, strconv.FormatUint(n.worker.setup.Seed<<20+uint64(n.index)+1, 16)
+	topology := n.worker.setup.Topology
+	config.Peers.Listen = emulatedAddr(n.index, topology.PeerPort).String()
+	if controlIndex := topology.controlIndex(n.index); topology.ControlNodes > 0 && controlIndex >= 0 {
+		config.Peers.ChildListen, config.Peers.ControlIndex =
+			emulatedAddr(n.index, topology.ChildPort).String(), controlIndex
+		for i := range topology.ControlNodes {
+			config.Peers.NodeAddrs = append(config.Peers.NodeAddrs,
+				emulatedAddr(topology.firstControlNode()+i, topology.PeerPort).String())
+		}
+	} else if topology.ControlNodes > 0 {
+		for _, i := range topology.controlOrder(n.index) {
+			config.Peers.ControlAddrs = append(config.Peers.ControlAddrs,
+				emulatedAddr(topology.firstControlNode()+i, topology.ChildPort).String())
+		}
+	}
+	config.Source = emulator.SourceAddr(n.index).String()
+	config.TestOptions.LogEndpointLists = true
+	n.worker.mu.Lock()
+	knownList := n.worker.setup.KnownList
+	n.worker.mu.Unlock()
+	if knownList != nil {
+		config.InitialEndpoints = discovery.EndpointList{}
+		if err := json.Unmarshal(knownList, &config.InitialEndpoints); err != nil {
 			return err
 		}
 	}
-	n.h.mu.Lock()
-	n.version, n.keeper, n.followed = c.InitialEndpoints.Version, -1, false
-	n.h.mu.Unlock()
-	c.TestOptions.PeerLink = func(to netip.AddrPort) (time.Duration, bool) {
-		if n.dead.Load() {
+	n.worker.mu.Lock()
+	n.version, n.leader, n.hasQuorum = config.InitialEndpoints.Version, -1, false
+	n.worker.mu.Unlock()
+	config.TestOptions.PeerLink = func(to netip.AddrPort) (time.Duration, bool) {
+		if n.unreachable.Load() {
 			return 0, false
 		}
-		at := hollowNode(to.Addr())
-		if at < 0 {
-			at = n.h.relays[to]
+		peer := emulatedNodeAt(to.Addr())
+		if peer < 0 {
+			peer = n.worker.realNodeByAddr[to]
 		}
-		return n.h.links.datagram(zone, zoneOf(at))
+		return n.worker.links.datagramDelay(zone, zoneOf(peer))
 	}
-	source := net.Dialer{LocalAddr: net.TCPAddrFromAddrPort(netip.AddrPortFrom(emulator.SourceAddr(n.number), 0))}
-	way := &n.h.ways[zone][listZone]
-	c.TestOptions.DialDiscovery = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		delay, _, cut := n.h.links.between(zone, listZone)
-		if cut || n.dead.Load() {
+	dialer := net.Dialer{LocalAddr: net.TCPAddrFromAddrPort(netip.AddrPortFrom(emulator.SourceAddr(n.index), 0))}
+	streamLink := &n.worker.streamLinks[zone][listServiceZone]
+	config.TestOptions.DialDiscovery = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		delay, _, blocked := n.worker.links.between(zone, listServiceZone)
+		if blocked || n.unreachable.Load() {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
@@ -449,253 +464,261 @@
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
-		conn, err := source.DialContext(ctx, network, addr)
+		conn, err := dialer.DialContext(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
-		link := &counted{emulator.Wrap(conn.(*net.TCPConn), &way.in, &way.out), n}
-		n.conns.Store(link, true)
-		return link, nil
+		counted := &countingConn{emulator.Wrap(conn.(*net.TCPConn), &streamLink.in, &streamLink.out), n}
+		n.conns.Store(counted, true)
+		return counted, nil
 	}
-	made, err := node.New(c, zap.New(&ear{n}))
-	for end := time.Now().Add(closeWithin); err != nil && errors.Is(err, syscall.EADDRINUSE) && time.Now().Before(end); { // the start before this one is closing it
+	created, err := node.New(config, zap.New(&logObserver{n}))
+	// Retries while the node's previous start still holds the socket.
+	for deadline := time.Now().Add(socketCloseTimeout); err != nil && errors.Is(err, syscall.EADDRINUSE) &&
+		time.Now().Before(deadline); {
 		time.Sleep(10 * time.Millisecond)
-		made, err = node.New(c, zap.New(&ear{n}))
+		created, err = node.New(config, zap.New(&logObserver{n}))
 	}
 	if err != nil {
 		return err
 	}
-	ctx, stop := context.WithCancel(context.Background())
-	ended := make(chan struct{})
-	n.stop, n.ended = stop, ended
-	n.node.Store(made)
+	ctx, cancel := context.WithCancel(context.Background())
+	stopped := make(chan struct{})
+	n.stop, n.stopped = cancel, stopped
+	n.node.Store(created)
 	go func() {
-		made.Run(ctx)
-		close(ended)
+		created.Run(ctx)
+		close(stopped)
 	}()
 	return nil
 }
 
-// counted counts what is read.
-type counted struct {
+// countingConn counts the bytes that a node reads from the list service.
+type countingConn struct {
 	net.Conn
-	of *hollow
+	node *emulatedNode
 }
 
-func (c *counted) Close() error {
-	c.of.conns.Delete(c)
+func (c *countingConn) Close() error {
+	c.node.conns.Delete(c)
 	return c.Conn.Close()
 }
 
-func (c *counted) Read(p []byte) (int, error) {
+func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.of.list.Add(int64(n))
+	c.node.listBytes.Add(int64(n))
 	return n, err
 }
 
-// ear is a log that hears what a node says of itself.
-type ear struct{ n *hollow }
+// logObserver is a logging core that reads the state of a node from its log entries.
+type logObserver struct{ node *emulatedNode }
 
-func (e *ear) Enabled(l zapcore.Level) bool      { return l >= zapcore.InfoLevel }
-func (e *ear) With([]zapcore.Field) zapcore.Core { return e }
-func (e *ear) Sync() error                       { return nil }
-func (e *ear) Check(ent zapcore.Entry, c *zapcore.CheckedEntry) *zapcore.CheckedEntry {
-	if e.Enabled(ent.Level) {
-		return c.AddCore(ent, e)
+func (o *logObserver) Enabled(level zapcore.Level) bool  { return level >= zapcore.InfoLevel }
+func (o *logObserver) With([]zapcore.Field) zapcore.Core { return o }
+func (o *logObserver) Sync() error                       { return nil }
+func (o *logObserver) Check(entry zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
+	if o.Enabled(entry.Level) {
+		return checked.AddCore(entry, o)
 	}
-	return c
+	return checked
 }
 
-func (e *ear) Write(ent zapcore.Entry, fields []zapcore.Field) error {
-	h := e.n.h
-	switch ent.Message {
+func (o *logObserver) Write(entry zapcore.Entry, fields []zapcore.Field) error {
+	w := o.node.worker
+	switch entry.Message {
 	case "serving":
-		h.up.Add(1)
+		w.serving.Add(1)
 	case "list in force":
 		now := time.Now().UnixNano()
-		h.mu.Lock()
-		for _, f := range fields {
-			if f.Key == "version" && f.Integer > e.n.version {
-				h.changes = append(h.changes, change{e.n.number, e.n.version, f.Integer, now})
-				e.n.version = f.Integer
+		w.mu.Lock()
+		for _, field := range fields {
+			if field.Key == "version" && field.Integer > o.node.version {
+				w.changes = append(w.changes, appliedChange{o.node.index, o.node.version, field.Integer, now})
+				o.node.version = field.Integer
 			}
 		}
-		h.mu.Unlock()
+		w.mu.Unlock()
 	case "quota group":
-		h.mu.Lock()
-		for _, f := range fields {
-			switch f.Key {
+		w.mu.Lock()
+		for _, field := range fields {
+			switch field.Key {
 			case "leader":
-				e.n.keeper = int(f.Integer)
+				o.node.leader = int(field.Integer)
 			case "has_quorum":
-				e.n.followed = f.Integer == 1
+				o.node.hasQuorum = field.Integer == 1
 			}
 		}
-		h.mu.Unlock()
+		w.mu.Unlock()
 	}
-	if ent.Level >= zapcore.WarnLevel {
-		h.mu.Lock()
-		h.warned[ent.Message]++
-		h.mu.Unlock()
+	if entry.Level >= zapcore.WarnLevel {
+		w.mu.Lock()
+		w.warnings[entry.Message]++
+		w.mu.Unlock()
 	}
 	return nil
 }
 
-// below tells whether a node asks control machines.
-func (h *hollowPart) below(n *hollow) bool {
-	return h.s.Place.Control > 0 && h.s.Place.is(n.number) < 0
+// isBelowControl reports whether a node sends its requests to control nodes.
+func (w *nodeWorker) isBelowControl(n *emulatedNode) bool {
+	return w.setup.Topology.ControlNodes > 0 && w.setup.Topology.controlIndex(n.index) < 0
 }
 
-// counters are the node's own.
-func (n *hollow) counters() map[string]int64 {
-	m := maps.Clone(n.past)
-	if m == nil {
-		m = map[string]int64{}
+// counters returns the node's counters, summed over all its starts.
+func (n *emulatedNode) counters() map[string]int64 {
+	totals := maps.Clone(n.earlierCounters)
+	if totals == nil {
+		totals = map[string]int64{}
 	}
-	for _, f := range n.node.Load().Counters() {
-		m[f.Key] += f.Integer
+	for _, field := range n.node.Load().Counters() {
+		totals[field.Key] += field.Integer
 	}
-	return m
+	return totals
 }
 
-// draw has the nodes ask for units as their clients would: each at its own moment, whatever became of those before.
-func (h *hollowPart) draw() {
-	t := h.s.Traffic
-	rng := rand.New(rand.NewPCG(h.s.Seed, uint64(h.s.Numbers[0])+7))
-	var busy, calm []*hollow
-	for _, n := range h.nodes {
+// generateTraffic requests units for the nodes at random times, whatever the result of earlier requests (open loop).
+func (w *nodeWorker) generateTraffic() {
+	traffic := w.setup.Traffic
+	rng := rand.New(rand.NewPCG(w.setup.Seed, uint64(w.setup.Nodes[0])+7))
+	var busy, others []*emulatedNode
+	for _, n := range w.nodes {
 		if n.busy {
 			busy = append(busy, n)
 		} else {
-			calm = append(calm, n)
+			others = append(others, n)
 		}
 	}
-	b, c := float64(len(busy))*t.Busy, float64(len(calm))*t.Calm
-	if b+c <= 0 {
+	busyRate, baseRate := float64(len(busy))*traffic.BusyRate, float64(len(others))*traffic.BaseRate
+	if busyRate+baseRate <= 0 {
 		return
 	}
-	for at := time.Now(); ; {
-		at = at.Add(time.Duration(rng.ExpFloat64() / (b + c) * float64(time.Second)))
-		time.Sleep(time.Until(at))
-		from := calm
-		if rng.Float64()*(b+c) < b {
-			from = busy
+	for next := time.Now(); ; {
+		next = next.Add(time.Duration(rng.ExpFloat64() / (busyRate + baseRate) * float64(time.Second)))
+		time.Sleep(time.Until(next))
+		nodes := others
+		if rng.Float64()*(busyRate+baseRate) < busyRate {
+			nodes = busy
 		}
-		n := from[rng.IntN(len(from))]
-		if n.dead.Load() { // its clients are elsewhere
+		n := nodes[rng.IntN(len(nodes))]
+		if n.unreachable.Load() { // its clients use other nodes
 			continue
 		}
-		if err := n.node.Load().Acquire(t.Kind, 0, unitWait, h.answered); err != nil {
-			h.p.tell(report{Did: "draw", Err: err.Error()})
+		if err := n.node.Load().Acquire(traffic.Kind, 0, unitTimeout, w.recordAcquire); err != nil {
+			w.worker.send(report{Action: "draw", Err: err.Error()})
 			return
 		}
 	}
 }
 
-// unitWait is how long who wants a unit waits for it, as the program's own requests do.
-const unitWait = 100 * time.Millisecond
+// unitTimeout is the timeout of a request for a unit. The program's own requests use the same.
+const unitTimeout = 100 * time.Millisecond
 
-func (h *hollowPart) answered(ok bool) {
-	if !ok {
-		h.refused.Add(1)
+// recordAcquire counts the result of a request for a unit.
+func (w *nodeWorker) recordAcquire(granted bool) {
+	if !granted {
+		w.refused.Add(1)
 		return
 	}
-	h.taken.Add(1)
-	at := time.Now().UnixMilli() / unitEvery
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if len(h.units) == 0 {
-		h.unitsAt = at
+	w.taken.Add(1)
+	bucket := time.Now().UnixMilli() / unitBucketMS
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if len(w.unitCounts) == 0 {
+		w.firstUnitBucket = bucket
 	}
-	for int64(len(h.units)) <= at-h.unitsAt {
-		h.units = append(h.units, 0)
+	for int64(len(w.unitCounts)) <= bucket-w.firstUnitBucket {
+		w.unitCounts = append(w.unitCounts, 0)
 	}
-	if at >= h.unitsAt {
-		h.units[at-h.unitsAt]++
+	if bucket >= w.firstUnitBucket {
+		w.unitCounts[bucket-w.firstUnitBucket]++
 	}
 }
 
-// sampleEvery is how often a part looks at its nodes, and tells what has happened.
-const sampleEvery = 200 * time.Millisecond
+// sampleInterval is the time between two samples of the nodes of a process, and between two reports of them.
+const sampleInterval = 200 * time.Millisecond
 
-func (h *hollowPart) sample() {
+// runSampler reports changes, units and leaders, and updates the load peaks and grant gaps of the nodes.
+func (w *nodeWorker) runSampler() {
 	for turn := 0; ; turn++ {
-		time.Sleep(sampleEvery)
+		time.Sleep(sampleInterval)
 		now := time.Now()
-		r := report{Did: "sample", State: &state{Keepers: map[int]int{}}}
-		h.mu.Lock()
-		r.Force, h.changes = h.changes, nil
-		if len(h.units) > 0 {
-			r.Units = &units{h.unitsAt, h.units}
-			h.units = nil
-		}
-		for _, n := range h.nodes {
-			r.State.Keepers[n.keeper]++
-			if n.followed || h.below(n) && n.keeper >= 0 {
-				r.State.Followed++
+		r := report{Action: "sample", State: &leaderState{NodesByLeader: map[int]int{}}}
+		w.mu.Lock()
+		r.Changes, w.changes = w.changes, nil
+		if len(w.unitCounts) > 0 {
+			r.Units = &unitCounts{w.firstUnitBucket, w.unitCounts}
+			w.unitCounts = nil
+		}
+		for _, n := range w.nodes {
+			r.State.NodesByLeader[n.leader]++
+			if n.hasQuorum || w.isBelowControl(n) && n.leader >= 0 {
+				r.State.InQuorum++
 			}
 		}
-		h.mu.Unlock()
-		h.p.tell(r)
-		for _, n := range h.nodes {
-			second := turn%int(time.Second/sampleEvery) == 0
-			if !n.busy && !second {
+		w.mu.Unlock()
+		w.worker.send(r)
+		for _, n := range w.nodes {
+			onSecond := turn%int(time.Second/sampleInterval) == 0
+			if !n.busy && !onSecond {
 				continue
 			}
-			h.mu.Lock()
+			w.mu.Lock()
 			counters := n.counters()
-			if second {
-				words := counters["peer_words"] + counters["child_words"]
-				n.wave.second(words, words)
+			if onSecond {
+				messages := counters["peer_words"] + counters["child_words"]
+				n.peak.sample(messages, messages)
 			}
 			leased := counters["budget_leased"]
-			n.gap = max(n.gap, now.Sub(n.lastUnit))
-			if leased > n.leased {
-				n.leased, n.lastUnit = leased, now
+			n.maxGrantGap = max(n.maxGrantGap, now.Sub(n.lastGrant))
+			if leased > n.lastLeased {
+				n.lastLeased, n.lastGrant = leased, now
 			}
-			h.mu.Unlock()
+			w.mu.Unlock()
 		}
 	}
 }
 
-func (h *hollowPart) counted(s *span) {
-	s.Nodes, s.Counters = len(h.nodes), map[string]int64{}
+// fill sets the figures of the emulated nodes.
+func (w *nodeWorker) fill(m *measurement) {
+	m.Nodes, m.Counters = len(w.nodes), map[string]int64{}
 	var in, out, list flow
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for _, n := range h.nodes {
-		d := n.counters()
-		for k, v := range n.before {
-			if k != "budget_followers" && k != "budget_children" { // as they are
-				d[k] -= v
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for _, n := range w.nodes {
+		delta := n.counters()
+		for k, v := range n.countersBefore {
+			if k != "budget_followers" && k != "budget_children" { // gauges, which are not differences
+				delta[k] -= v
 			}
 		}
-		for k, v := range d {
-			s.Counters[k] += v
+		for k, v := range delta {
+			m.Counters[k] += v
 		}
-		in.add(float64(d["peer_words"]+d["child_words"])/s.Seconds, float64(d["peer_bytes"]+d["child_bytes"])/s.Seconds)
-		out.add(float64(d["peer_words_sent"]+d["child_words_sent"])/s.Seconds, float64(d["peer_bytes_sent"]+d["child_bytes_sent"])/s.Seconds)
-		list.add(float64(d["list_changes"])/s.Seconds, float64(n.list.Load()-n.listed)/s.Seconds)
-		if p := n.wave.over(); p > s.Peak {
-			s.Peak, s.PeakAt = p, n.number
+		in.add(float64(delta["peer_words"]+delta["child_words"])/m.Seconds,
+			float64(delta["peer_bytes"]+delta["child_bytes"])/m.Seconds)
+		out.add(float64(delta["peer_words_sent"]+delta["child_words_sent"])/m.Seconds,
+			float64(delta["peer_bytes_sent"]+delta["child_bytes_sent"])/m.Seconds)
+		list.add(float64(delta["list_changes"])/m.Seconds,
+			float64(n.listBytes.Load()-n.listBytesBefore)/m.Seconds)
+		if ratio := n.peak.ratio(); ratio > m.PeakRatio {
+			m.PeakRatio, m.PeakNode = ratio, n.index
 		}
 		if n.busy {
-			s.Gaps = append(s.Gaps, n.gap.Seconds())
+			m.GrantGaps = append(m.GrantGaps, n.maxGrantGap.Seconds())
 		}
 	}
-	s.Counters["overruns"] = h.overruns() - h.overrun
-	s.Flows["in"], s.Flows["out"], s.Flows["list"] = in, out, list
-	s.Taken, s.Refused, s.Warned = h.taken.Load(), h.refused.Load(), maps.Clone(h.warned)
+	m.Counters["overruns"] = w.socketDrops() - w.socketDropsBefore
+	m.Flows["in"], m.Flows["out"], m.Flows["list"] = in, out, list
+	m.Taken, m.Refused, m.Warnings = w.taken.Load(), w.refused.Load(), maps.Clone(w.warnings)
 }
 
-// overruns counts the datagrams that came to the nodes' sockets and found no room there.
-func (h *hollowPart) overruns() (n int64) {
-	own := map[string]bool{}
-	for _, x := range h.nodes {
-		for _, port := range []int{h.s.Place.Port, h.s.Place.Children} {
-			a := hollowAddr(x.number, port)
-			ip := a.Addr().As4()
-			own[fmt.Sprintf("%02X%02X%02X%02X:%04X", ip[3], ip[2], ip[1], ip[0], a.Port())] = true
+// socketDrops returns the number of datagrams dropped because the receive buffers of the nodes' sockets were full.
+func (w *nodeWorker) socketDrops() (total int64) {
+	localAddrs := map[string]bool{}
+	for _, n := range w.nodes {
+		for _, port := range []int{w.setup.Topology.PeerPort, w.setup.Topology.ChildPort} {
+			addr := emulatedAddr(n.index, port)
+			ip := addr.Addr().As4()
+			localAddrs[fmt.Sprintf("%02X%02X%02X%02X:%04X", ip[3], ip[2], ip[1], ip[0], addr.Port())] = true
 		}
 	}
 	data, err := os.ReadFile("/proc/self/net/udp")
@@ -703,16 +726,16 @@
 		return 0
 	}
 	for line := range strings.Lines(string(data)) {
-		if f := strings.Fields(line); len(f) > 12 && own[f[1]] {
-			drops, _ := strconv.ParseInt(f[12], 10, 64)
-			n += drops
+		if fields := strings.Fields(line); len(fields) > 12 && localAddrs[fields[1]] {
+			drops, _ := strconv.ParseInt(fields[12], 10, 64)
+			total += drops
 		}
 	}
-	return n
+	return total
 }
 
-// memory is the machine's, in bytes.
-func memory() float64 {
+// totalMemory returns the memory of the machine in bytes.
+func totalMemory() float64 {
 	var info syscall.Sysinfo_t
 	if err := syscall.Sysinfo(&info); err != nil {
 		return 0
@@ -720,36 +743,39 @@
 	return float64(info.Totalram) * float64(info.Unit)
 }
 
-// wave looks, second by second, at one receiver: at the mean of its work until the mark, and at the most that comes to it in any second after that.
-type wave struct {
-	met, first int64
-	most       float64
-	from       time.Time
-	marked     time.Time
-	mean       float64
-	at         time.Time // of last
+// peakMeter measures the load peak at one receiver, second by second: the mean of its load before the mark, and the
+// maximum of the received messages per second after it.
+type peakMeter struct {
+	lastReceived, handledAtStart int64
+	maxRate                      float64
+	startedAt                    time.Time
+	markedAt                     time.Time
+	baselineRate                 float64
+	sampledAt                    time.Time // time of lastReceived
 }
 
-// calmWords is the least mean that a wave is held against: a second of who hears less is chance.
-const calmWords = 10
+// minBaselineRate is the lowest baseline in messages per second. Below it, the messages of one second vary too much by
+// chance.
+const minBaselineRate = 10
 
-func (w *wave) begin() { *w = wave{} }
+func (p *peakMeter) reset() { *p = peakMeter{} }
 
-// second takes what has come by now, and all that was work by now.
-func (w *wave) second(met, done int64) {
+// sample takes the totals of the messages received and of the messages handled so far.
+func (p *peakMeter) sample(received, handled int64) {
 	now := time.Now()
 	switch {
-	case w.from.IsZero():
-		w.first, w.from = done, now
-	case w.marked.IsZero():
-		w.mean = float64(done-w.first) / now.Sub(w.from).Seconds()
-	default: // of the second in which the mark fell all counts
-		w.most = max(w.most, float64(met-w.met)/now.Sub(w.at).Seconds())
+	case p.startedAt.IsZero():
+		p.handledAtStart, p.startedAt = handled, now
+	case p.markedAt.IsZero():
+		p.baselineRate = float64(handled-p.handledAtStart) / now.Sub(p.startedAt).Seconds()
+	default: // the second that contains the mark counts as a whole
+		p.maxRate = max(p.maxRate, float64(received-p.lastReceived)/now.Sub(p.sampledAt).Seconds())
 	}
-	w.met, w.at = met, now
+	p.lastReceived, p.sampledAt = received, now
 }
 
-func (w *wave) mark() { w.marked = time.Now() }
+// mark ends the baseline.
+func (p *peakMeter) mark() { p.markedAt = time.Now() }
 
-// over is the most over the mean; 0 where there was no mark.
-func (w *wave) over() float64 { return w.most / max(w.mean, calmWords) }
+// ratio returns the maximum rate divided by the baseline, or 0 without a mark.
+func (p *peakMeter) ratio() float64 { return p.maxRate / max(p.baselineRate, minBaselineRate) }
--- a/lab/scale/real.go
+++ b/lab/scale/real.go
@@ -18,222 +18,236 @@
 	"brassmux/lab/process"
 )
 
-// realNode is a process of the program that serves real clients.
+// realNode is a node process of the program that serves real clients.
 type realNode struct {
-	f       *fleet
-	number  int
-	p       *process.Process
-	version int64
-	told    chan struct{}
+	fleet          *fleet
+	index          int
+	proc           *process.Process // guarded by fleet.mu
+	listVersion    int64            // guarded by fleet.mu
+	countersLogged chan struct{}    // receives a value when the process has logged its counters
 
-	began    process.Usage
-	begun    time.Time
-	counters map[string]float64
-	pid      int
+	// State at the start of the measurement.
+	startUsage     process.Usage
+	startedAt      time.Time
+	countersBefore map[string]float64
+	startPID       int
 }
 
-func (f *fleet) startReal(n *realNode) error {
-	c := maps.Clone(f.template)
-	settings := maps.Clone(c["settings"].(map[string]any))
+// startRealNode starts the process of a node and waits until it serves.
+func (f *fleet) startRealNode(n *realNode) error {
+	config := maps.Clone(f.configTemplate)
+	settings := maps.Clone(config["settings"].(map[string]any))
 	ceilings := maps.Clone(settings["ceilings"].(map[string]any))
 	ceilings["may_probe"] = true
-	settings["ceilings"], settings["index"] = ceilings, n.number
+	settings["ceilings"], settings["index"] = ceilings, n.index
 	peers := map[string]any{"listen": "127.0.0.1:0"}
 	var addrs []string
-	if f.o.ControlNodes > 0 {
-		for _, i := range f.place.prefers(n.number) {
-			addrs = append(addrs, f.relay.Addr(f.place.first()+i))
+	if f.options.ControlNodes > 0 {
+		for _, i := range f.topology.controlOrder(n.index) {
+			addrs = append(addrs, f.relay.Addr(f.topology.firstControlNode()+i))
 		}
 		peers["control"] = addrs
 	} else {
-		for i := range f.n {
+		for i := range f.size {
 			addrs = append(addrs, f.relay.Addr(i))
 		}
 		peers["nodes"] = addrs
 	}
-	c["settings"] = settings
-	c["name"], c["listen"] = fmt.Sprintf("r%d", n.number), "127.0.0.1:0"
-	c["seed"] = strconv.FormatUint(f.o.Seed<<20+uint64(n.number)+1, 16)
-	c["source"] = emulator.SourceAddr(n.number).String()
-	c["peers"] = peers
-	c["lab"] = map[string]any{"tell_lists": true}
+	config["settings"] = settings
+	config["name"], config["listen"] = fmt.Sprintf("r%d", n.index), "127.0.0.1:0"
+	config["seed"] = strconv.FormatUint(f.options.Seed<<20+uint64(n.index)+1, 16)
+	config["source"] = emulator.SourceAddr(n.index).String()
+	config["peers"] = peers
+	config["lab"] = map[string]any{"tell_lists": true}
 	f.mu.Lock()
-	n.version = f.template["known"].(map[string]any)["version"].(int64)
+	n.listVersion = f.configTemplate["known"].(map[string]any)["version"].(int64)
 	f.mu.Unlock()
-	n.told = make(chan struct{}, 1)
-	p, err := f.starter.StartNode(f.o.Binary, n.number, c, nil, func(_ *process.Process, line map[string]any) {
-		switch line["msg"] {
-		case "listening for peers":
-			if text, ok := line["address"].(string); ok {
-				if addr, err := netip.ParseAddrPort(text); err == nil {
-					f.relay.SetNodeAddr(n.number, addr, false)
+	n.countersLogged = make(chan struct{}, 1)
+	proc, err := f.starter.StartNode(f.options.Binary, n.index, config, nil,
+		func(_ *process.Process, line map[string]any) {
+			switch line["msg"] {
+			case "listening for peers":
+				if text, ok := line["address"].(string); ok {
+					if addr, err := netip.ParseAddrPort(text); err == nil {
+						f.relay.SetNodeAddr(n.index, addr, false)
+					}
+				}
+			case "list in force":
+				value, _ := line["version"].(float64)
+				f.mu.Lock()
+				if version := int64(value); version > n.listVersion {
+					f.recordApplied(n.index, n.listVersion, version, time.Now())
+					n.listVersion = version
+				}
+				f.mu.Unlock()
+			case "counters":
+				select {
+				case n.countersLogged <- struct{}{}:
+				default:
 				}
 			}
-		case "list in force":
-			v, _ := line["version"].(float64)
-			f.mu.Lock()
-			if to := int64(v); to > n.version {
-				f.inForce(n.number, n.version, to, time.Now())
-				n.version = to
-			}
-			f.mu.Unlock()
-		case "counters":
-			select {
-			case n.told <- struct{}{}:
-			default:
-			}
-		}
-	})
+		})
 	if err != nil {
 		return err
 	}
 	f.mu.Lock()
-	n.p = p
+	n.proc = proc
 	f.mu.Unlock()
 	select {
-	case <-p.Listening:
+	case <-proc.Listening:
 		return nil
-	case <-p.Exited:
-		return fmt.Errorf("node %d ended at its start: %s", n.number, p.LogExcerpt(""))
+	case <-proc.Exited:
+		return fmt.Errorf("node %d exited during startup: %s", n.index, proc.LogExcerpt(""))
 	case <-time.After(time.Minute):
-		return fmt.Errorf("node %d does not serve within a minute", n.number)
+		return fmt.Errorf("node %d does not serve within 1 minute", n.index)
 	}
 }
 
+// process returns the current process of the node.
 func (n *realNode) process() *process.Process {
-	n.f.mu.Lock()
-	defer n.f.mu.Unlock()
-	return n.p
+	n.fleet.mu.Lock()
+	defer n.fleet.mu.Unlock()
+	return n.proc
 }
 
-func (n *realNode) ask() map[string]float64 {
+// readCounters requests the counters of the process and waits for them for up to 5 s.
+func (n *realNode) readCounters() map[string]float64 {
 	select {
-	case <-n.told:
+	case <-n.countersLogged:
 	default:
 	}
 	n.process().Signal(syscall.SIGUSR1)
 	select {
-	case <-n.told:
+	case <-n.countersLogged:
 	case <-time.After(5 * time.Second):
 	}
 	return n.process().Counters()
 }
 
-func (n *realNode) begin() {
-	n.counters = n.ask()
-	n.pid = n.process().PID()
-	n.began, n.begun = process.ReadUsage(strconv.Itoa(n.process().PID())), time.Now()
+// beginMeasurement records the counters and the resource usage at the start of the measurement.
+func (n *realNode) beginMeasurement() {
+	n.countersBefore = n.readCounters()
+	n.startPID = n.process().PID()
+	n.startUsage, n.startedAt = process.ReadUsage(strconv.Itoa(n.process().PID())), time.Now()
 }
 
-// finish adds what it used to its role.
-func (n *realNode) finish(roles *map[string]Role) {
-	now, took := process.ReadUsage(strconv.Itoa(n.process().PID())), time.Since(n.begun).Seconds()
-	d := n.ask()
-	if n.process().PID() == n.pid { // else it has started anew, and so have they
-		for k, v := range n.counters {
-			d[k] -= v
+// endMeasurement adds the resource usage and the traffic of the node to its role.
+func (n *realNode) endMeasurement(roles *map[string]Role) {
+	usage, seconds := process.ReadUsage(strconv.Itoa(n.process().PID())), time.Since(n.startedAt).Seconds()
+	delta := n.readCounters()
+	if n.process().PID() == n.startPID { // otherwise the counters and the CPU time began at 0 with a new process
+		for k, v := range n.countersBefore {
+			delta[k] -= v
 		}
 	} else {
-		n.began.CPU = 0
+		n.startUsage.CPU = 0
 	}
-	r := (*roles)["real"]
-	r.Nodes, r.Processes = r.Nodes+1, r.Processes+1
-	mean := func(to *float64, x float64) { *to = round(*to + (x-*to)/float64(r.Nodes)) }
-	cores, mb := (now.CPU-n.began.CPU).Seconds()/took, now.Resident/1e6
-	mean(&r.CPU, cores)
-	mean(&r.ResidentMB, mb)
-	mean(&r.Descriptors, float64(now.Descriptors))
-	r.MaxCPU, r.MaxResidentMB = max(r.MaxCPU, round(cores)), max(r.MaxResidentMB, round(mb))
-	for _, x := range []struct {
-		f            *flow
-		words, bytes float64
-	}{{&r.In, d["peer_words"] / took, d["peer_bytes"] / took}, {&r.Out, d["peer_words_sent"] / took, d["peer_bytes_sent"] / took}} {
-		mean(&x.f.Messages, x.words)
-		mean(&x.f.Bytes, x.bytes)
-		x.f.MaxMessages, x.f.MaxBytes = max(x.f.MaxMessages, round(x.words)), max(x.f.MaxBytes, round(x.bytes))
+	role := (*roles)["real"]
+	role.Nodes, role.Processes = role.Nodes+1, role.Processes+1
+	addToMean := func(mean *float64, value float64) { *mean = round(*mean + (value-*mean)/float64(role.Nodes)) }
+	cores, residentMB := (usage.CPU-n.startUsage.CPU).Seconds()/seconds, usage.Resident/1e6
+	addToMean(&role.CPU, cores)
+	addToMean(&role.ResidentMB, residentMB)
+	addToMean(&role.Descriptors, float64(usage.Descriptors))
+	role.MaxCPU, role.MaxResidentMB = max(role.MaxCPU, round(cores)), max(role.MaxResidentMB, round(residentMB))
+	for _, rate := range []struct {
+		flow            *flow
+		messages, bytes float64
+	}{
+		{&role.In, delta["peer_words"] / seconds, delta["peer_bytes"] / seconds},
+		{&role.Out, delta["peer_words_sent"] / seconds, delta["peer_bytes_sent"] / seconds},
+	} {
+		addToMean(&rate.flow.Messages, rate.messages)
+		addToMean(&rate.flow.Bytes, rate.bytes)
+		rate.flow.MaxMessages, rate.flow.MaxBytes =
+			max(rate.flow.MaxMessages, round(rate.messages)), max(rate.flow.MaxBytes, round(rate.bytes))
 	}
-	r.Dropped += int64(d["peer_dropped"])
-	(*roles)["real"] = r
+	role.Dropped += int64(delta["peer_dropped"])
+	(*roles)["real"] = role
 }
 
-// clients are those of the real nodes. Each wants one connection that stands, and comes again where it ends.
-type clients struct {
-	mu    sync.Mutex
-	count map[string]int
+// clientStats counts the outcomes of the sessions of real clients.
+type clientStats struct {
+	mu     sync.Mutex
+	counts map[string]int
 }
 
-func (c *clients) add(what string) {
+func (c *clientStats) add(outcome string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.count == nil {
-		c.count = map[string]int{}
+	if c.counts == nil {
+		c.counts = map[string]int{}
 	}
-	c.count[what]++
+	c.counts[outcome]++
 }
 
-func (c *clients) counts() map[string]int {
+// snapshot returns a copy of the counts.
+func (c *clientStats) snapshot() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return maps.Clone(c.count)
+	return maps.Clone(c.counts)
 }
 
-func (c *clients) received(r emulator.Event) {
-	if r.Kind == emulator.AttemptReceived {
+// observe counts the attempts that arrive at servers.
+func (c *clientStats) observe(event emulator.Event) {
+	if event.Kind == emulator.AttemptReceived {
 		c.add("attempts at servers")
 	}
 }
 
-func (f *fleet) serveClients() {
-	for i := range f.o.RealNodes * clientsEach {
+// startClients starts the clients of the real nodes. Each keeps one connection open and reconnects when it ends.
+func (f *fleet) startClients() {
+	for client := range f.options.RealNodes * clientsPerRealNode {
 		go func() {
-			rng := rand.New(rand.NewPCG(f.o.Seed, uint64(i)))
-			for again := 0; f.sleep(time.Duration(rng.Int64N(int64(time.Second)))); again++ {
-				f.client(i, again, rng)
+			rng := rand.New(rand.NewPCG(f.options.Seed, uint64(client)))
+			for session := 0; f.sleep(time.Duration(rng.Int64N(int64(time.Second)))); session++ {
+				f.runClientSession(client, session, rng)
 			}
 		}()
 	}
 }
 
-func (f *fleet) client(i, again int, rng *rand.Rand) {
-	n := f.reals[rng.IntN(len(f.reals))]
+// runClientSession opens a connection to a random real node and keeps it until it fails or is moved.
+func (f *fleet) runClientSession(client, session int, rng *rand.Rand) {
+	n := f.realNodes[rng.IntN(len(f.realNodes))]
 	addr, up := n.process().Address()
 	if !up {
 		return
 	}
 	conn, err := (&net.Dialer{Timeout: 2 * time.Second}).Dial("tcp", addr)
 	if err != nil {
-		f.clients.add("node not there")
+		f.clientStats.add("node not there")
 		return
 	}
 	defer conn.Close()
-	end := make(chan struct{})
-	defer close(end)
+	sessionOver := make(chan struct{})
+	defer close(sessionOver)
 	go func() {
 		select {
-		case <-f.over:
+		case <-f.done:
 			conn.Close()
-		case <-end:
+		case <-sessionOver:
 		}
 	}()
-	f.clients.add("asked")
-	fmt.Fprintf(conn, "OPEN c%d-%d-%d k%d c=c,d=2000\r\n", f.o.Seed, i, again, i)
+	f.clientStats.add("asked")
+	fmt.Fprintf(conn, "OPEN c%d-%d-%d k%d c=c,d=2000\r\n", f.options.Seed, client, session, client)
 	conn.SetReadDeadline(time.Now().Add(3 * time.Second))
-	in := bufio.NewReader(conn)
-	line, err := in.ReadString('\n')
+	reader := bufio.NewReader(conn)
+	line, err := reader.ReadString('\n')
 	switch word, _, _ := strings.Cut(strings.TrimSpace(line), " "); {
 	case err != nil && f.ended():
 		return
 	case err != nil:
-		f.clients.add("without an answer")
+		f.clientStats.add("without an answer")
 		return
 	case word == "BUSY":
-		f.clients.add("refused")
+		f.clientStats.add("refused")
 		return
 	case word != "UP":
-		f.clients.add("failed")
+		f.clientStats.add("failed")
 		return
 	}
-	f.clients.add("up")
+	f.clientStats.add("up")
 	conn.SetReadDeadline(time.Time{})
 	go func() {
 		for f.sleep(2 * time.Second) {
@@ -243,22 +257,23 @@
 		}
 	}()
 	for {
-		line, err := in.ReadString('\n')
+		line, err := reader.ReadString('\n')
 		if f.ended() {
 			return
 		} else if err != nil {
-			f.clients.add("cut off")
+			f.clientStats.add("cut off")
 			return
 		} else if strings.HasPrefix(line, "MOVE") {
-			f.clients.add("moved")
+			f.clientStats.add("moved")
 			return
 		}
 	}
 }
 
+// ended reports whether the run is over.
 func (f *fleet) ended() bool {
 	select {
-	case <-f.over:
+	case <-f.done:
 		return true
 	default:
 		return false
--- a/lab/scale/scale.go
+++ b/lab/scale/scale.go
@@ -39,11 +39,11 @@
 
 // Bounds of the options.
 const (
-	leastNodes, mostNodes = 40, 12_000
-	mostReal              = 60
-	mostControl           = 32
-	leastFor, mostFor     = 5 * time.Second, 10 * time.Minute
-	perProcess            = 300 // hollow nodes
+	minNodes, maxNodes       = 40, 12_000
+	maxRealNodes             = 60
+	maxControlNodes          = 32
+	minDuration, maxDuration = 5 * time.Second, 10 * time.Minute
+	nodesPerWorker           = 300 // hollow nodes
 )
 
 // Scenarios are those that can be played.
@@ -55,23 +55,23 @@
 		return errors.New("--nodes: none")
 	}
 	for i, n := range o.Nodes {
-		if n < leastNodes || n > mostNodes {
-			return fmt.Errorf("--nodes: %d is not %d to %d", n, leastNodes, mostNodes)
+		if n < minNodes || n > maxNodes {
+			return fmt.Errorf("--nodes: %d is not %d to %d", n, minNodes, maxNodes)
 		} else if i > 0 && n <= o.Nodes[i-1] {
 			return fmt.Errorf("--nodes: %d is not over the one before it", n)
 		}
-		if o.RealNodes < 0 || o.RealNodes > mostReal || o.RealNodes > n/4 {
-			return fmt.Errorf("--real: %d is not 0 to %d, and a fourth of the nodes at most", o.RealNodes, mostReal)
+		if o.RealNodes < 0 || o.RealNodes > maxRealNodes || o.RealNodes > n/4 {
+			return fmt.Errorf("--real: %d is not 0 to %d, and a fourth of the nodes at most", o.RealNodes, maxRealNodes)
 		}
 	}
-	if o.ControlNodes < 0 || o.ControlNodes > mostControl {
-		return fmt.Errorf("--control: %d is not 0 to %d", o.ControlNodes, mostControl)
+	if o.ControlNodes < 0 || o.ControlNodes > maxControlNodes {
+		return fmt.Errorf("--control: %d is not 0 to %d", o.ControlNodes, maxControlNodes)
 	}
-	if o.Duration < leastFor || o.Duration > mostFor {
-		return fmt.Errorf("--for: %v is not %v to %v", o.Duration, leastFor, mostFor)
+	if o.Duration < minDuration || o.Duration > maxDuration {
+		return fmt.Errorf("--for: %v is not %v to %v", o.Duration, minDuration, maxDuration)
 	}
-	if o.OutageDuration < time.Second || o.OutageDuration > mostFor {
-		return fmt.Errorf("--cut: %v is not 1s to %v", o.OutageDuration, mostFor)
+	if o.OutageDuration < time.Second || o.OutageDuration > maxDuration {
+		return fmt.Errorf("--cut: %v is not 1s to %v", o.OutageDuration, maxDuration)
 	}
 	if !slices.Contains(Scenarios(), o.Scenario) {
 		return fmt.Errorf("--scenario: %q is none of %s", o.Scenario, strings.Join(Scenarios(), ", "))
@@ -192,296 +192,298 @@
 	if o.Log == nil {
 		o.Log = io.Discard
 	}
-	most := o.Nodes[len(o.Nodes)-1]
-	if err := process.RaiseDescriptorLimit(2*most + 1000); err != nil {
+	largest := o.Nodes[len(o.Nodes)-1]
+	if err := process.RaiseDescriptorLimit(2*largest + 1000); err != nil {
 		return nil, err
 	}
-	r := &Result{Scenario: o.Scenario, Seed: o.Seed, ControlNodes: o.ControlNodes, DurationSeconds: o.Duration.Seconds()}
-	for _, n := range o.Nodes {
-		f := newFleet(o, n)
-		got, err := f.play()
+	result := &Result{Scenario: o.Scenario, Seed: o.Seed, ControlNodes: o.ControlNodes, DurationSeconds: o.Duration.Seconds()}
+	for _, size := range o.Nodes {
+		f := newFleet(o, size)
+		counted, err := f.run()
 		if err != nil {
 			return nil, err
 		}
-		r.Fleets = append(r.Fleets, got)
+		result.Fleets = append(result.Fleets, counted)
 	}
-	r.Slopes = r.slopes()
-	return r, nil
+	result.Slopes = result.slopes()
+	return result, nil
 }
 
 const (
-	servers     = 30
-	clientsEach = 10 // at a real node
-	unitsEach   = 4  // a second, of what all nodes together may take
-	alone       = 8  // nodes that are asked first whether they lead: each has a process of its own, so that what that costs is counted alone
+	serverCount        = 30
+	clientsPerRealNode = 10 // at a real node
+	unitsPerNode       = 4  // a second, of what all nodes together may take
+	candidateCount     = 8  // nodes that are asked first whether they lead: each has a process of its own, so that what that costs is counted alone
 	// lateMost is how late any process of the run may be before the run says nothing: half of the silence after which a node takes who leads
 	// for gone. lateLooks is the part of its looks that may be late at all.
-	lateMost  = 500 // ms
-	lateLooks = 0.01
+	maxDelayMS         = 500 // ms
+	maxLateSampleRatio = 0.01
 )
 
 // fleet is one size.
 type fleet struct {
-	o        Options
-	n        int
-	seen     *Fleet
-	starter  *process.Starter
-	place    place
-	ports    []net.PacketConn // held, so that another run beside this one takes others
-	relay    *emulator.DatagramNetwork
-	links    *links
-	shaped   [Zones][Zones]emulator.Direction // of the real nodes' datagrams, as the links are
-	list     *proc
-	parts    []*proc // of hollow nodes
-	alone    map[int]bool
-	gone     map[int]bool // nodes that do not come back
-	reals    []*realNode
-	template map[string]any
-
-	mu      sync.Mutex
-	servers []*emulator.Server
-	named   int
-	version int64 // of the list
-	made    map[int64]time.Time
-	force   map[int64]map[int]time.Duration // by version and node, since it was made, or since the node came back if that was later
-	back    map[int]time.Time               // when nodes came back
-	units   map[int64]int
-	states  map[*proc]*state
-	faults  []string
-	clock   lateness
-	over    chan struct{}
-	clients clients
+	options        Options
+	size           int
+	result         *Fleet
+	starter        *process.Starter
+	topology       topology
+	reservedPorts  []net.PacketConn // held, so that another run beside this one takes others
+	relay          *emulator.DatagramNetwork
+	links          *links
+	realNodeLinks  [Zones][Zones]emulator.Direction // of the real nodes' datagrams, as the links are
+	list           *workerProcess
+	nodeWorkers    []*workerProcess // of hollow nodes
+	hasOwnProcess  map[int]bool
+	killed         map[int]bool // nodes that do not come back
+	realNodes      []*realNode
+	configTemplate map[string]any
+
+	mu               sync.Mutex
+	servers          []*emulator.Server
+	lastServerNumber int
+	listVersion      int64 // of the list
+	changedAt        map[int64]time.Time
+	applied          map[int64]map[int]time.Duration // by version and node, since it was made, or since the node came back if that was later
+	returnedAt       map[int]time.Time               // when nodes came back
+	unitCounts       map[int64]int
+	leaderStates     map[*workerProcess]*leaderState
+	failures         []string
+	delays           delayMonitor
+	done             chan struct{}
+	clientStats      clientStats
 }
 
 // proc is a process of hollow nodes, or the list service's.
-type proc struct {
-	role    string
-	numbers []int
-	cmd     *exec.Cmd
-	in      *json.Encoder
-	reports chan report
-	dead    chan struct{}
-	killed  bool // by the scenario
+type workerProcess struct {
+	role     string
+	nodes    []int
+	cmd      *exec.Cmd
+	commands *json.Encoder
+	reports  chan report
+	exited   chan struct{}
+	killed   bool // by the scenario
 }
 
-func newFleet(o Options, n int) *fleet {
-	return &fleet{o: o, n: n, seen: &Fleet{Nodes: n, RealNodes: o.RealNodes, Roles: map[string]Role{}}, alone: map[int]bool{}, gone: map[int]bool{},
-		links: newLinks(Links{WithinZone: 250 * time.Microsecond, WithinRegion: time.Millisecond, BetweenRegions: 40 * time.Millisecond, LossRate: 0.001}),
-		made:  map[int64]time.Time{}, force: map[int64]map[int]time.Duration{}, back: map[int]time.Time{}, units: map[int64]int{}, states: map[*proc]*state{}, over: make(chan struct{})}
+func newFleet(options Options, size int) *fleet {
+	return &fleet{options: options, size: size, result: &Fleet{Nodes: size, RealNodes: options.RealNodes, Roles: map[string]Role{}}, hasOwnProcess: map[int]bool{}, killed: map[int]bool{},
+		links:     newLinks(Links{WithinZone: 250 * time.Microsecond, WithinRegion: time.Millisecond, BetweenRegions: 40 * time.Millisecond, LossRate: 0.001}),
+		changedAt: map[int64]time.Time{}, applied: map[int64]map[int]time.Duration{}, returnedAt: map[int]time.Time{}, unitCounts: map[int64]int{}, leaderStates: map[*workerProcess]*leaderState{}, done: make(chan struct{})}
 }
 
-func (f *fleet) say(format string, args ...any) {
-	fmt.Fprintf(f.o.Log, "%d nodes: %s\n", f.n, fmt.Sprintf(format, args...))
+func (f *fleet) logf(format string, args ...any) {
+	fmt.Fprintf(f.options.Log, "%d nodes: %s\n", f.size, fmt.Sprintf(format, args...))
 }
 
-func (f *fleet) fault(format string, args ...any) {
+func (f *fleet) failf(format string, args ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.faults) < 10 {
-		f.faults = append(f.faults, fmt.Sprintf(format, args...))
+	if len(f.failures) < 10 {
+		f.failures = append(f.failures, fmt.Sprintf(format, args...))
 	}
 }
 
 // realNumbers are those of the real nodes: the last ones that lead nothing.
-func (f *fleet) realNumbers() (numbers []int) {
-	first := f.leaders()
-	for i := f.n - 1; len(numbers) < f.o.RealNodes; i-- {
-		if !slices.Contains(first, i) {
-			numbers = append(numbers, i)
+func (f *fleet) realNodeIndexes() (indexes []int) {
+	candidates := f.leaderCandidates()
+	for i := f.size - 1; len(indexes) < f.options.RealNodes; i-- {
+		if !slices.Contains(candidates, i) {
+			indexes = append(indexes, i)
 		}
 	}
-	return numbers
+	return indexes
 }
 
 // play plays one size.
-func (f *fleet) play() (*Fleet, error) {
+func (f *fleet) run() (*Fleet, error) {
 	f.starter = process.NewStarter()
 	defer f.starter.Close()
-	defer f.end()
-	if err := f.open(); err != nil {
+	defer f.shutDown()
+	if err := f.prepare(); err != nil {
 		return nil, err
 	}
-	begun := time.Now()
+	started := time.Now()
 	if err := f.start(); err != nil {
 		return nil, err
 	}
-	f.seen.StartupSeconds = time.Since(begun).Seconds()
-	f.say("all serve after %.1f s", f.seen.StartupSeconds)
+	f.result.StartupSeconds = time.Since(started).Seconds()
+	f.logf("all serve after %.1f s", f.result.StartupSeconds)
 	f.settle()
-	f.span(f.happen)
-	f.finish()
-	return f.seen, nil
+	f.measure(f.runScenario)
+	f.evaluate()
+	return f.result, nil
 }
 
 // open brings up all but the nodes.
-func (f *fleet) open() (err error) {
-	f.place = place{Nodes: f.n, Control: f.o.ControlNodes}
-	for _, port := range []*int{&f.place.Port, &f.place.Children} {
-		held, err := net.ListenPacket("udp4", "127.0.0.1:0")
+func (f *fleet) prepare() (err error) {
+	f.topology = topology{Nodes: f.size, ControlNodes: f.options.ControlNodes}
+	for _, port := range []*int{&f.topology.PeerPort, &f.topology.ChildPort} {
+		conn, err := net.ListenPacket("udp4", "127.0.0.1:0")
 		if err != nil {
 			return err
 		}
-		f.ports, *port = append(f.ports, held), held.LocalAddr().(*net.UDPAddr).Port
+		f.reservedPorts, *port = append(f.reservedPorts, conn), conn.LocalAddr().(*net.UDPAddr).Port
 	}
-	if f.relay, err = emulator.NewDatagramNetwork(f.place.first()+f.o.ControlNodes, f.o.Seed); err != nil {
+	if f.relay, err = emulator.NewDatagramNetwork(f.topology.firstControlNode()+f.options.ControlNodes, f.options.Seed); err != nil {
 		return err
 	}
-	numbers := f.realNumbers()
-	f.shape()
-	var free emulator.Direction // hollow nodes shape their own
+	realIndexes := f.realNodeIndexes()
+	f.updateRealNodeLinks()
+	var unshaped emulator.Direction // hollow nodes shape their own
 	f.relay.SharedDirection = func(from, to int) *emulator.Direction {
-		if slices.Contains(numbers, from) {
-			return &f.shaped[zoneOf(from)][zoneOf(to)]
+		if slices.Contains(realIndexes, from) {
+			return &f.realNodeLinks[zoneOf(from)][zoneOf(to)]
 		}
-		return &free
+		return &unshaped
 	}
-	relays := map[int]string{}
-	for _, n := range numbers {
-		relays[n] = f.relay.Addr(n)
+	realNodeAddrs := map[int]string{}
+	for _, n := range realIndexes {
+		realNodeAddrs[n] = f.relay.Addr(n)
 	}
-	for _, i := range f.place.all() {
-		if port := f.place.Port; !slices.Contains(numbers, i) {
-			if f.o.ControlNodes > 0 && f.place.is(i) >= 0 { // what real nodes reach of it
-				port = f.place.Children
+	for _, i := range f.topology.allNodes() {
+		if port := f.topology.PeerPort; !slices.Contains(realIndexes, i) {
+			if f.options.ControlNodes > 0 && f.topology.controlIndex(i) >= 0 { // what real nodes reach of it
+				port = f.topology.ChildPort
 			}
-			f.relay.SetNodeAddr(i, hollowAddr(i, port), false)
+			f.relay.SetNodeAddr(i, emulatedAddr(i, port), false)
 		}
 	}
-	f.list = &proc{role: "list"}
-	if err := f.spawn(f.list, setup{Role: "list", Seed: f.o.Seed, Relays: relays, Links: f.links.Links}); err != nil {
+	f.list = &workerProcess{role: "list"}
+	if err := f.spawn(f.list, setup{Role: "list", Seed: f.options.Seed, RealNodeAddrs: realNodeAddrs, Links: f.links.Links}); err != nil {
 		return err
 	}
-	r, err := f.list.next(doSetup, 20*time.Second)
+	reply, err := f.list.awaitReport(actionSetup, 20*time.Second)
 	if err != nil {
 		return err
 	}
-	for range servers {
+	for range serverCount {
 		if err := f.addServer(time.Time{}); err != nil {
 			return err
 		}
 	}
 	var addrs []string
-	for i := range f.n {
-		if f.o.ControlNodes > 0 { // nobody knows all
+	for i := range f.size {
+		if f.options.ControlNodes > 0 { // nobody knows all
 			break
 		}
-		if addrs = append(addrs, relays[i]); addrs[i] == "" {
-			addrs[i] = hollowAddr(i, f.place.Port).String()
+		if addrs = append(addrs, realNodeAddrs[i]); addrs[i] == "" {
+			addrs[i] = emulatedAddr(i, f.topology.PeerPort).String()
 		}
 	}
-	f.template = f.config(r.Addr, addrs)
-	config, err := json.Marshal(f.template)
+	f.configTemplate = f.config(reply.Addr, addrs)
+	config, err := json.Marshal(f.configTemplate)
 	if err != nil {
 		return err
 	}
 	groups := [][]int{}
-	for _, n := range f.leaders() {
-		f.alone[n] = true
+	for _, n := range f.leaderCandidates() {
+		f.hasOwnProcess[n] = true
 		groups = append(groups, []int{n})
 	}
-	var all []int
+	var emulated []int
 	for z := range Zones {
-		for i := z; i < f.n; i += Zones {
-			if !f.alone[i] && !slices.Contains(numbers, i) {
-				all = append(all, i)
+		for i := z; i < f.size; i += Zones {
+			if !f.hasOwnProcess[i] && !slices.Contains(realIndexes, i) {
+				emulated = append(emulated, i)
 			}
 		}
 	}
-	for parts := (len(all) + perProcess - 1) / perProcess; parts > 0; parts-- { // of like size
-		k := (len(all) + parts - 1) / parts
-		groups = append(groups, all[:k])
-		all = all[k:]
+	for workers := (len(emulated) + nodesPerWorker - 1) / nodesPerWorker; workers > 0; workers-- { // of like size
+		count := (len(emulated) + workers - 1) / workers
+		groups = append(groups, emulated[:count])
+		emulated = emulated[count:]
 	}
-	for _, g := range groups {
-		p := &proc{role: "node", numbers: g}
-		if f.alone[g[0]] {
-			p.role = "spare"
-			if f.o.ControlNodes > 0 {
-				p.role = "control"
+	for _, group := range groups {
+		proc := &workerProcess{role: "node", nodes: group}
+		if f.hasOwnProcess[group[0]] {
+			proc.role = "spare"
+			if f.options.ControlNodes > 0 {
+				proc.role = "control"
 			}
-			if g[0] == f.leaders()[0] {
-				p.role = "leader"
+			if group[0] == f.leaderCandidates()[0] {
+				proc.role = "leader"
 			}
 		}
-		f.parts = append(f.parts, p)
-		s := setup{Role: "hollow", Seed: f.o.Seed, Place: f.place, Relays: relays, Numbers: g, Config: config, Links: f.links.Links}
-		if g[0] < f.n { // control machines have no clients
-			s.Traffic = f.traffic()
+		f.nodeWorkers = append(f.nodeWorkers, proc)
+		setup := setup{Role: "hollow", Seed: f.options.Seed, Topology: f.topology, RealNodeAddrs: realNodeAddrs, Nodes: group, Config: config, Links: f.links.Links}
+		if group[0] < f.size { // control machines have no clients
+			setup.Traffic = f.traffic()
 		}
-		if err := f.spawn(p, s); err != nil {
+		if err := f.spawn(proc, setup); err != nil {
 			return err
 		}
 	}
-	for _, n := range numbers {
-		f.reals = append(f.reals, &realNode{f: f, number: n})
+	for _, n := range realIndexes {
+		f.realNodes = append(f.realNodes, &realNode{fleet: f, index: n})
 	}
 	return nil
 }
 
 // leaders gives the numbers of who is asked first whether it leads, the first one first: each has a process of its own.
-func (f *fleet) leaders() []int {
-	if f.o.ControlNodes == 0 {
-		return leaders(f.n)[:alone]
+func (f *fleet) leaderCandidates() []int {
+	if f.options.ControlNodes == 0 {
+		return leaderRanking(f.size)[:candidateCount]
 	}
-	all := leaders(f.o.ControlNodes)
-	for i := range all {
-		all[i] += f.place.first()
+	candidates := leaderRanking(f.options.ControlNodes)
+	for i := range candidates {
+		candidates[i] += f.topology.firstControlNode()
 	}
-	return all
+	return candidates
 }
 
 // traffic asks for three fifths of the whole, half of it at a tenth of the nodes, which get the most of it from others.
 func (f *fleet) traffic() traffic {
-	return traffic{Kind: "retries_per_s", Calm: 0.6 * unitsEach * 0.5 / 0.9, Busy: 0.6 * unitsEach * 0.5 / 0.1, Every: 10}
+	return traffic{Kind: "retries_per_s", BaseRate: 0.6 * unitsPerNode * 0.5 / 0.9, BusyRate: 0.6 * unitsPerNode * 0.5 / 0.1, BusyInterval: 10}
 }
 
 // config is that of any node, but for what is its own.
-func (f *fleet) config(list string, addrs []string) map[string]any {
-	return map[string]any{"discovery": list, "limits": map[string]any{"cores": 1, "sockets": 4096},
-		"known": f.listed(),
-		"settings": map[string]any{"balancers": f.n, "tick_us": 5000, "membership_mode": "pushed",
+func (f *fleet) config(listAddr string, addrs []string) map[string]any {
+	return map[string]any{"discovery": listAddr, "limits": map[string]any{"cores": 1, "sockets": 4096},
+		"known": f.listSnapshot(),
+		"settings": map[string]any{"balancers": f.size, "tick_us": 5000, "membership_mode": "pushed",
 			"ceilings": map[string]any{"dial_timeout_us": 200000, "keepalive_us": 5000000, "max_open": 2000, "max_retry_after_us": 1000000,
 				"may_probe": false, "retry_after": true, "send_cap": 3, "peers": true},
 			"classes":     []any{map[string]any{"name": "c", "effect": "read_like", "deadline_us": 2_000_000}},
-			"family_info": map[string]any{"message_aim_us": []float64{300000}, "tenant_quota_connections": []float64{float64(8 * f.n)}},
+			"family_info": map[string]any{"message_aim_us": []float64{300000}, "tenant_quota_connections": []float64{float64(8 * f.size)}},
 			"report":      map[string]any{"fields": []string{"x0"}, "via": "probe"},
 			"rules":       map[string]any{"cold_from": 0.2, "cold_us": 6_000_000, "fall_multiple": 3, "fall_us": 1_000_000}},
 		"peers":   map[string]any{"nodes": addrs},
-		"budgets": map[string]any{"lease": true, "floor": 0.5, "retries_per_s": unitsEach * f.n}}
+		"budgets": map[string]any{"lease": true, "floor": 0.5, "retries_per_s": unitsPerNode * f.size}}
 }
 
 // procs are all processes but the real nodes'.
-func (f *fleet) procs() []*proc { return append([]*proc{f.list}, f.parts...) }
+func (f *fleet) workerProcesses() []*workerProcess {
+	return append([]*workerProcess{f.list}, f.nodeWorkers...)
+}
 
 // spawn starts a part.
-func (f *fleet) spawn(p *proc, s setup) error {
-	p.cmd = exec.Command(f.o.Binary, "lab", "scale-part")
+func (f *fleet) spawn(p *workerProcess, setup setup) error {
+	p.cmd = exec.Command(f.options.Binary, "lab", "scale-part")
 	p.cmd.Env = []string{"PATH=" + os.Getenv("PATH")}
 	p.cmd.Stderr = os.Stderr
-	in, err := p.cmd.StdinPipe()
+	stdin, err := p.cmd.StdinPipe()
 	if err != nil {
 		return err
 	}
-	out, err := p.cmd.StdoutPipe()
+	stdout, err := p.cmd.StdoutPipe()
 	if err != nil {
 		return err
 	}
 	if err := f.starter.StartCommand(p.cmd); err != nil {
 		return err
 	}
-	p.in, p.reports, p.dead = json.NewEncoder(in), make(chan report, 100), make(chan struct{})
+	p.commands, p.reports, p.exited = json.NewEncoder(stdin), make(chan report, 100), make(chan struct{})
 	go func() {
-		dec := json.NewDecoder(out)
+		decoder := json.NewDecoder(stdout)
 		for {
 			var r report
-			if err := dec.Decode(&r); err != nil {
+			if err := decoder.Decode(&r); err != nil {
 				break
 			}
 			if r.Err != "" {
-				f.fault("a process of %s nodes: %s", p.role, r.Err)
+				f.failf("a process of %s nodes: %s", p.role, r.Err)
 			}
-			if r.Did == "sample" {
-				f.sampled(p, r)
+			if r.Action == "sample" {
+				f.recordSample(p, r)
 				continue
 			}
 			select {
@@ -490,174 +492,174 @@
 			}
 		}
 		p.cmd.Wait()
-		close(p.dead)
+		close(p.exited)
 	}()
-	return p.in.Encode(order{Do: doSetup, Setup: &s})
+	return p.commands.Encode(command{Action: actionSetup, Setup: &setup})
 }
 
 // next waits for a report.
-func (p *proc) next(did string, within time.Duration) (report, error) {
-	end := time.After(within)
+func (p *workerProcess) awaitReport(action string, timeout time.Duration) (report, error) {
+	deadline := time.After(timeout)
 	for {
 		select {
 		case r := <-p.reports:
 			if r.Err != "" {
 				return r, errors.New(r.Err)
-			} else if r.Did == did {
+			} else if r.Action == action {
 				return r, nil
 			}
-		case <-p.dead:
-			return report{}, fmt.Errorf("a process of %s nodes ended before %s", p.role, did)
-		case <-end:
-			return report{}, fmt.Errorf("a process of %s nodes did not %s within %v", p.role, did, within)
+		case <-p.exited:
+			return report{}, fmt.Errorf("a process of %s nodes ended before %s", p.role, action)
+		case <-deadline:
+			return report{}, fmt.Errorf("a process of %s nodes did not %s within %v", p.role, action, timeout)
 		}
 	}
 }
 
 // sampled takes in what a part tells all the time.
-func (f *fleet) sampled(p *proc, r report) {
+func (f *fleet) recordSample(p *workerProcess, r report) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, c := range r.Force {
-		f.inForce(c.Node, c.From, c.To, time.Unix(0, c.At))
+	for _, change := range r.Changes {
+		f.recordApplied(change.Node, change.From, change.To, time.Unix(0, change.At))
 	}
-	if u := r.Units; u != nil {
-		for i, n := range u.N {
-			f.units[u.At+int64(i)] += int(n)
+	if units := r.Units; units != nil {
+		for i, count := range units.Counts {
+			f.unitCounts[units.FirstBucket+int64(i)] += int(count)
 		}
 	}
-	f.states[p] = r.State
+	f.leaderStates[p] = r.State
 }
 
 // inForce notes that versions are in force at a node. f.mu is held.
-func (f *fleet) inForce(node int, from, to int64, at time.Time) {
-	for v := from + 1; v <= to; v++ {
-		made, ok := f.made[v]
+func (f *fleet) recordApplied(node int, from, to int64, appliedAt time.Time) {
+	for version := from + 1; version <= to; version++ {
+		changedAt, ok := f.changedAt[version]
 		if !ok {
 			continue
 		}
-		if back := f.back[node]; back.After(made) {
-			made = back
+		if returnedAt := f.returnedAt[node]; returnedAt.After(changedAt) {
+			changedAt = returnedAt
 		}
-		if f.force[v] == nil {
-			f.force[v] = map[int]time.Duration{}
+		if f.applied[version] == nil {
+			f.applied[version] = map[int]time.Duration{}
 		}
-		if _, ok := f.force[v][node]; !ok {
-			f.force[v][node] = max(at.Sub(made), 0)
+		if _, ok := f.applied[version][node]; !ok {
+			f.applied[version][node] = max(appliedAt.Sub(changedAt), 0)
 		}
 	}
 }
 
 // put has the list service make a change.
-func (f *fleet) put(e emulator.Endpoint) {
+func (f *fleet) updateList(endpoint emulator.Endpoint) {
 	f.mu.Lock()
-	f.version++
-	f.made[f.version] = time.Now()
+	f.listVersion++
+	f.changedAt[f.listVersion] = time.Now()
 	f.mu.Unlock()
-	f.list.in.Encode(order{Do: doPut, Entry: &e})
+	f.list.commands.Encode(command{Action: actionUpdateList, Endpoint: &endpoint})
 }
 
-func (f *fleet) addServer(started time.Time) error {
+func (f *fleet) addServer(startedAt time.Time) error {
 	f.mu.Lock()
-	f.named++
-	id := "s-" + strconv.Itoa(f.named)
+	f.lastServerNumber++
+	id := "s-" + strconv.Itoa(f.lastServerNumber)
 	f.mu.Unlock()
-	config := emulator.ServerConfig{Capacity: 8 * f.n / servers, InitialFraction: 0.2, WarmUp: 6 * time.Second}
-	s := emulator.NewServer(id, config, started, f.clients.received)
-	var free emulator.Direction
-	if err := s.Open(func(int) (in, out *emulator.Direction) { return &free, &free }); err != nil {
+	config := emulator.ServerConfig{Capacity: 8 * f.size / serverCount, InitialFraction: 0.2, WarmUp: 6 * time.Second}
+	server := emulator.NewServer(id, config, startedAt, f.clientStats.observe)
+	var unshaped emulator.Direction
+	if err := server.Open(func(int) (in, out *emulator.Direction) { return &unshaped, &unshaped }); err != nil {
 		return err
 	}
 	f.mu.Lock()
-	f.servers = append(f.servers, s)
+	f.servers = append(f.servers, server)
 	f.mu.Unlock()
-	e := emulator.Endpoint{ID: id, Addr: s.Addr(), State: "up", Weight: 1}
-	if !started.IsZero() {
-		e.Started = started.UnixMilli()
+	endpoint := emulator.Endpoint{ID: id, Addr: server.Addr(), State: "up", Weight: 1}
+	if !startedAt.IsZero() {
+		endpoint.Started = startedAt.UnixMilli()
 	}
-	f.put(e)
+	f.updateList(endpoint)
 	return nil
 }
 
 // start starts all nodes and returns once they serve.
 func (f *fleet) start() error {
-	for _, p := range f.parts {
-		p.in.Encode(order{Do: doStart})
-	}
-	var wait sync.WaitGroup
-	errs := make(chan error, len(f.parts)+len(f.reals))
-	for _, p := range f.parts {
-		wait.Go(func() {
-			if _, err := p.next(doStart, 2*time.Minute); err != nil {
+	for _, p := range f.nodeWorkers {
+		p.commands.Encode(command{Action: actionStart})
+	}
+	var group sync.WaitGroup
+	errs := make(chan error, len(f.nodeWorkers)+len(f.realNodes))
+	for _, p := range f.nodeWorkers {
+		group.Go(func() {
+			if _, err := p.awaitReport(actionStart, 2*time.Minute); err != nil {
 				errs <- err
 			}
 		})
 	}
-	for _, n := range f.reals {
-		wait.Go(func() {
-			if err := f.startReal(n); err != nil {
+	for _, n := range f.realNodes {
+		group.Go(func() {
+			if err := f.startRealNode(n); err != nil {
 				errs <- err
 			}
 		})
 	}
-	wait.Wait()
+	group.Wait()
 	close(errs)
 	return <-errs
 }
 
 // changeEvery is the time between two changes of the list on an ordinary day: 18,000 a day.
-const changeEvery = 4800 * time.Millisecond
+const changeInterval = 4800 * time.Millisecond
 
 // changes has the list change until the end, by turns: a server starts, the oldest drains, it goes.
-func (f *fleet) changes() {
-	var leaving *emulator.Server
+func (f *fleet) changeList() {
+	var draining *emulator.Server
 	next := time.Now()
 	for i := 0; ; i++ {
 		if !f.sleep(time.Until(next)) {
 			return
 		}
-		next = next.Add(changeEvery)
+		next = next.Add(changeInterval)
 		f.mu.Lock()
 		oldest := f.servers[0]
 		f.mu.Unlock()
 		switch i % 3 {
 		case 0:
 			if err := f.addServer(time.Now()); err != nil {
-				f.fault("a server does not start: %v", err)
+				f.failf("a server does not start: %v", err)
 			}
 		case 1:
-			leaving = oldest
+			draining = oldest
 			f.mu.Lock()
 			f.servers = f.servers[1:]
 			f.mu.Unlock()
-			f.put(emulator.Endpoint{ID: leaving.ID, Addr: leaving.Addr(), State: "draining", Weight: 1})
-			time.AfterFunc(time.Second, leaving.Drain)
+			f.updateList(emulator.Endpoint{ID: draining.ID, Addr: draining.Addr(), State: "draining", Weight: 1})
+			time.AfterFunc(time.Second, draining.Drain)
 		case 2:
-			f.put(emulator.Endpoint{ID: leaving.ID, Addr: leaving.Addr(), State: "removed", Weight: 1})
-			leaving.Stop()
+			f.updateList(emulator.Endpoint{ID: draining.ID, Addr: draining.Addr(), State: "removed", Weight: 1})
+			draining.Stop()
 		}
 	}
 }
 
 // sleep waits, and tells whether the run still goes on.
 func (f *fleet) sleep(d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return true
-	case <-f.over:
+	case <-f.done:
 		return false
 	}
 }
 
 // everywhere waits until a version is at all nodes, and tells whether it came to that.
-func (f *fleet) everywhere(version int64, within time.Duration) bool {
-	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+func (f *fleet) awaitApplied(version int64, timeout time.Duration) bool {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
 		f.mu.Lock()
-		n := len(f.force[version])
+		applied := len(f.applied[version])
 		f.mu.Unlock()
-		if n >= f.n+f.o.ControlNodes-len(f.gone) {
+		if applied >= f.size+f.options.ControlNodes-len(f.killed) {
 			return true
 		}
 	}
@@ -665,137 +667,139 @@
 }
 
 // followed tells how many nodes ask each keeper, and how many of them know that most do.
-func (f *fleet) followed() (keepers map[int]int, by int) {
-	keepers = map[int]int{}
+func (f *fleet) leaderCounts() (nodesByLeader map[int]int, inQuorum int) {
+	nodesByLeader = map[int]int{}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, s := range f.states {
-		for k, n := range s.Keepers {
-			keepers[k] += n
+	for _, state := range f.leaderStates {
+		for leader, nodes := range state.NodesByLeader {
+			nodesByLeader[leader] += nodes
 		}
-		by += s.Followed
+		inQuorum += state.InQuorum
 	}
-	return keepers, by
+	return nodesByLeader, inQuorum
 }
 
 // whom tells whom nodes ask.
-func whom(keepers map[int]int) string {
-	asked, most, nodes := 0, -1, 0
-	for _, k := range slices.Sorted(maps.Keys(keepers)) {
-		if n := keepers[k]; k >= 0 {
-			if asked++; n > nodes {
-				most, nodes = k, n
+func describeLeaders(nodesByLeader map[int]int) string {
+	leaders, mostFollowed, followers := 0, -1, 0
+	for _, leader := range slices.Sorted(maps.Keys(nodesByLeader)) {
+		if nodes := nodesByLeader[leader]; leader >= 0 {
+			if leaders++; nodes > followers {
+				mostFollowed, followers = leader, nodes
 			}
 		}
 	}
-	return fmt.Sprintf("%d nodes ask nobody, the others %d keepers, most (%d) number %d", keepers[-1], asked, nodes, most)
+	return fmt.Sprintf("%d nodes ask nobody, the others %d keepers, most (%d) number %d", nodesByLeader[-1], leaders, followers, mostFollowed)
 }
 
 // settle waits until all follow the list, and until what the start brought about is over.
 func (f *fleet) settle() {
 	if err := f.addServer(time.Now()); err != nil {
-		f.fault("a server does not start: %v", err)
+		f.failf("a server does not start: %v", err)
 	}
-	if f.seen.Settled = f.everywhere(f.version, 45*time.Second); !f.seen.Settled {
+	if f.result.Settled = f.awaitApplied(f.listVersion, 45*time.Second); !f.result.Settled {
 		f.mu.Lock()
-		n := len(f.force[f.version])
+		applied := len(f.applied[f.listVersion])
 		f.mu.Unlock()
-		f.seen.Notes = append(f.seen.Notes, fmt.Sprintf("the first change was at %d nodes after 45 s", n))
-		f.say("%s", f.seen.Notes[len(f.seen.Notes)-1])
+		f.result.Notes = append(f.result.Notes, fmt.Sprintf("the first change was at %d nodes after 45 s", applied))
+		f.logf("%s", f.result.Notes[len(f.result.Notes)-1])
 	}
 	for i := 0; i < 40; i++ {
-		if _, by := f.followed(); by > (f.n+f.o.ControlNodes-f.o.RealNodes)*99/100 {
+		if _, inQuorum := f.leaderCounts(); inQuorum > (f.size+f.options.ControlNodes-f.options.RealNodes)*99/100 {
 			break
 		}
 		time.Sleep(250 * time.Millisecond)
 	}
-	keepers, by := f.followed()
-	f.seen.Settled = f.seen.Settled && by > (f.n+f.o.ControlNodes-f.o.RealNodes)*99/100
-	f.say("%s; %d know that most do as they do", whom(keepers), by)
+	nodesByLeader, inQuorum := f.leaderCounts()
+	f.result.Settled = f.result.Settled && inQuorum > (f.size+f.options.ControlNodes-f.options.RealNodes)*99/100
+	f.logf("%s; %d know that most do as they do", describeLeaders(nodesByLeader), inQuorum)
 	resident := 0.0
-	for _, p := range f.procs() {
+	for _, p := range f.workerProcesses() {
 		resident += process.ReadUsage(strconv.Itoa(p.cmd.Process.Pid)).Resident
 	}
-	if f.say("%.0f MB resident", resident/1e6); resident > memory()/2 {
-		f.fault("%.0f MB are in use, over half of the machine's memory", resident/1e6)
+	if f.logf("%.0f MB resident", resident/1e6); resident > totalMemory()/2 {
+		f.failf("%.0f MB are in use, over half of the machine's memory", resident/1e6)
 	}
-	go f.serveClients()
+	go f.startClients()
 	time.Sleep(6 * time.Second) // a promise binds for less
 }
 
 // span counts over what is done.
-func (f *fleet) span(do func()) {
+func (f *fleet) measure(scenario func()) {
 	f.mu.Lock()
-	clear(f.made)
-	clear(f.units)
+	clear(f.changedAt)
+	clear(f.unitCounts)
 	f.mu.Unlock()
-	f.clock.begin()
-	go f.clock.watch(f.over)
-	for _, p := range f.procs() {
-		p.in.Encode(order{Do: doSpan})
+	f.delays.reset()
+	go f.delays.run(f.done)
+	for _, p := range f.workerProcesses() {
+		p.commands.Encode(command{Action: actionBeginMeasurement})
 	}
-	for _, n := range f.reals {
-		n.begin()
+	for _, n := range f.realNodes {
+		n.beginMeasurement()
 	}
-	go f.changes()
-	do()
-	for _, n := range f.reals {
-		n.finish(&f.seen.Roles)
+	go f.changeList()
+	scenario()
+	for _, n := range f.realNodes {
+		n.endMeasurement(&f.result.Roles)
 	}
-	for _, p := range f.procs() {
-		p.in.Encode(order{Do: doEnd})
+	for _, p := range f.workerProcesses() {
+		p.commands.Encode(command{Action: actionEndMeasurement})
 	}
-	roles := map[string][]*span{}
-	for _, p := range f.procs() {
+	byRole := map[string][]*measurement{}
+	for _, p := range f.workerProcesses() {
 		if p.killed {
 			continue
 		}
-		r, err := p.next(doEnd, 30*time.Second)
+		reply, err := p.awaitReport(actionEndMeasurement, 30*time.Second)
 		if err != nil {
-			f.fault("%v", err)
+			f.failf("%v", err)
 			continue
 		}
-		roles[p.role] = append(roles[p.role], r.Span)
+		byRole[p.role] = append(byRole[p.role], reply.Measurement)
 		if p.role == "node" { // the others' own work may be too much for them
-			f.seen.MaxDelayMS, f.seen.LateSampleRatio = max(f.seen.MaxDelayMS, r.Span.Late), max(f.seen.LateSampleRatio, round(r.Span.Looks))
+			f.result.MaxDelayMS, f.result.LateSampleRatio = max(f.result.MaxDelayMS, reply.Measurement.MaxDelayMS), max(f.result.LateSampleRatio, round(reply.Measurement.LateSampleRatio))
 		}
 	}
-	most, looks := f.clock.was()
-	f.seen.MaxDelayMS, f.seen.LateSampleRatio = max(f.seen.MaxDelayMS, most), max(f.seen.LateSampleRatio, round(looks))
-	close(f.over)
-	for role, spans := range roles {
-		f.seen.Roles[role] = sum(spans)
-		for _, s := range spans {
-			if s.Peak > f.seen.Peak.Ratio {
-				f.seen.Peak = Peak{round(s.Peak), role, s.PeakAt}
+	maxDelay, lateRatio := f.delays.results()
+	f.result.MaxDelayMS, f.result.LateSampleRatio = max(f.result.MaxDelayMS, maxDelay), max(f.result.LateSampleRatio, round(lateRatio))
+	close(f.done)
+	for role, measurements := range byRole {
+		f.result.Roles[role] = aggregate(measurements)
+		for _, m := range measurements {
+			if m.PeakRatio > f.result.Peak.Ratio {
+				f.result.Peak = Peak{round(m.PeakRatio), role, m.PeakNode}
 			}
 		}
 	}
 	var gaps []float64
-	warned := map[string]int{}
-	for _, s := range roles["node"] {
-		gaps = append(gaps, s.Gaps...)
-	}
-	for _, all := range roles {
-		for _, s := range all {
-			f.seen.Units.Taken += s.Taken
-			f.seen.Units.Refused += s.Refused
-			for what, n := range s.Warned {
-				warned[what] += n
+	warnings := map[string]int{}
+	for _, m := range byRole["node"] {
+		gaps = append(gaps, m.GrantGaps...)
+	}
+	for _, measurements := range byRole {
+		for _, m := range measurements {
+			f.result.Units.Taken += m.Taken
+			f.result.Units.Refused += m.Refused
+			for message, count := range m.Warnings {
+				warnings[message] += count
 			}
 		}
 	}
-	for _, what := range slices.Sorted(maps.Keys(warned)) {
-		f.seen.Notes = append(f.seen.Notes, fmt.Sprintf("%d times logged: %s", warned[what], what))
+	for _, message := range slices.Sorted(maps.Keys(warnings)) {
+		f.result.Notes = append(f.result.Notes, fmt.Sprintf("%d times logged: %s", warnings[message], message))
 	}
 	slices.Sort(gaps)
 	if len(gaps) > 0 {
-		f.seen.Units.GapP99, f.seen.Units.MaxGap = round(gaps[at(len(gaps), 0.99)]), round(gaps[len(gaps)-1])
+		f.result.Units.GapP99, f.result.Units.MaxGap = round(gaps[quantileIndex(len(gaps), 0.99)]), round(gaps[len(gaps)-1])
 	}
 }
 
 // at is the place of a part of n in order.
-func at(n int, part float64) int { return max(int(math.Ceil(part*float64(n)))-1, 0) }
+func quantileIndex(count int, fraction float64) int {
+	return max(int(math.Ceil(fraction*float64(count)))-1, 0)
+}
 
 func round(x float64) float64 {
 	if x == 0 {
@@ -806,180 +810,180 @@
 }
 
 // sum gives a role what its processes have counted.
-func sum(spans []*span) Role {
-	r := Role{Processes: len(spans), Counters: map[string]int64{}}
+func aggregate(measurements []*measurement) Role {
+	role := Role{Processes: len(measurements), Counters: map[string]int64{}}
 	var cpu, live, resident, files float64
-	for _, s := range spans {
-		r.Nodes += s.Nodes
-		cpu, live, resident, files = cpu+s.CPU/s.Seconds, live+s.Live, resident+s.Resident, files+float64(s.Files)
-		r.MaxCPU = max(r.MaxCPU, s.CPU/s.Seconds/float64(s.Nodes))
-		r.MaxResidentMB = max(r.MaxResidentMB, s.Resident/float64(s.Nodes)/1e6)
-		in, out, list := s.Flows["in"], s.Flows["out"], s.Flows["list"]
-		r.In.merge(in)
-		r.Out.merge(out)
-		r.List.merge(list)
-		for k, v := range s.Counters {
+	for _, m := range measurements {
+		role.Nodes += m.Nodes
+		cpu, live, resident, files = cpu+m.CPU/m.Seconds, live+m.LiveBytes, resident+m.ResidentBytes, files+float64(m.Descriptors)
+		role.MaxCPU = max(role.MaxCPU, m.CPU/m.Seconds/float64(m.Nodes))
+		role.MaxResidentMB = max(role.MaxResidentMB, m.ResidentBytes/float64(m.Nodes)/1e6)
+		in, out, list := m.Flows["in"], m.Flows["out"], m.Flows["list"]
+		role.In.merge(in)
+		role.Out.merge(out)
+		role.List.merge(list)
+		for k, v := range m.Counters {
 			if v != 0 {
-				r.Counters[k] += v
+				role.Counters[k] += v
 			}
 		}
 	}
-	n := float64(r.Nodes)
-	r.CPU, r.LiveMB, r.ResidentMB, r.Descriptors = round(cpu/n), round(live/n/1e6), round(resident/n/1e6), round(files/n)
-	r.MaxCPU, r.MaxResidentMB = round(r.MaxCPU), round(r.MaxResidentMB)
-	for _, f := range []*flow{&r.In, &r.Out, &r.List} {
-		*f = flow{round(f.Messages / n), round(f.Bytes / n), round(f.MaxMessages), round(f.MaxBytes)}
+	nodes := float64(role.Nodes)
+	role.CPU, role.LiveMB, role.ResidentMB, role.Descriptors = round(cpu/nodes), round(live/nodes/1e6), round(resident/nodes/1e6), round(files/nodes)
+	role.MaxCPU, role.MaxResidentMB = round(role.MaxCPU), round(role.MaxResidentMB)
+	for _, mean := range []*flow{&role.In, &role.Out, &role.List} {
+		*mean = flow{round(mean.Messages / nodes), round(mean.Bytes / nodes), round(mean.MaxMessages), round(mean.MaxBytes)}
 	}
-	r.Dropped = r.Counters["peer_dropped"] + r.Counters["overruns"]
-	return r
+	role.Dropped = role.Counters["peer_dropped"] + role.Counters["overruns"]
+	return role
 }
 
 // finish judges.
-func (f *fleet) finish() {
-	keepers, _ := f.followed()
+func (f *fleet) evaluate() {
+	nodesByLeader, _ := f.leaderCounts()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s := f.seen
+	result := f.result
 	now := time.Now()
-	halves := 0.0
-	for v, made := range f.made {
-		got := slices.Sorted(maps.Values(f.force[v]))
-		if len(got) < f.n+f.o.ControlNodes && now.Sub(made) < inForceWithin { // it may come yet
+	medianSum := 0.0
+	for version, changedAt := range f.changedAt {
+		delays := slices.Sorted(maps.Values(f.applied[version]))
+		if len(delays) < f.size+f.options.ControlNodes && now.Sub(changedAt) < maxChangeDelay { // it may come yet
 			continue
 		}
-		s.Changes.Count++
-		for _, i := range f.place.all() {
-			if _, ok := f.force[v][i]; !ok && !f.gone[i] && now.Sub(f.back[i]) >= inForceWithin {
-				s.Changes.Missing++
+		result.Changes.Count++
+		for _, i := range f.topology.allNodes() {
+			if _, ok := f.applied[version][i]; !ok && !f.killed[i] && now.Sub(f.returnedAt[i]) >= maxChangeDelay {
+				result.Changes.Missing++
 			}
 		}
-		if len(got) > 0 {
-			halves += got[at(len(got), 0.5)].Seconds()
-			s.Changes.P99 = max(s.Changes.P99, round(got[at(len(got), 0.99)].Seconds()))
-			s.Changes.Max = max(s.Changes.Max, round(got[len(got)-1].Seconds()))
+		if len(delays) > 0 {
+			medianSum += delays[quantileIndex(len(delays), 0.5)].Seconds()
+			result.Changes.P99 = max(result.Changes.P99, round(delays[quantileIndex(len(delays), 0.99)].Seconds()))
+			result.Changes.Max = max(result.Changes.Max, round(delays[len(delays)-1].Seconds()))
 		}
 	}
-	if s.Changes.Count > 0 {
-		s.Changes.Median = round(halves / float64(s.Changes.Count))
+	if result.Changes.Count > 0 {
+		result.Changes.Median = round(medianSum / float64(result.Changes.Count))
 	}
-	s.Units.Kind, s.Units.Limit = f.traffic().Kind, unitsEach*f.n
-	s.Units.MaxPerSecond = mostInASecond(f.units)
-	s.Clients = f.clients.counts()
-	s.Targets = f.targets()
+	result.Units.Kind, result.Units.Limit = f.traffic().Kind, unitsPerNode*f.size
+	result.Units.MaxPerSecond = maxUnitsPerSecond(f.unitCounts)
+	result.Clients = f.clientStats.snapshot()
+	result.Targets = f.targets()
 	elsewhere := 0
-	for k, n := range keepers {
-		if f.o.ControlNodes == 0 && k >= 0 && !f.alone[k] {
-			elsewhere += n
+	for leader, nodes := range nodesByLeader {
+		if f.options.ControlNodes == 0 && leader >= 0 && !f.hasOwnProcess[leader] {
+			elsewhere += nodes
 		}
 	}
-	s.Notes = append(s.Notes, "at the end "+whom(keepers))
+	result.Notes = append(result.Notes, "at the end "+describeLeaders(nodesByLeader))
 	switch {
-	case len(f.faults) > 0:
-		s.InvalidReason = f.faults[0]
-	case s.MaxDelayMS > lateMost || s.LateSampleRatio > lateLooks:
-		s.InvalidReason = fmt.Sprintf("the run was %.0f ms late at most, and over %v at %g of its looks", s.MaxDelayMS, lateLook, s.LateSampleRatio)
-	case elsewhere > f.n/100: // what that costs is counted at nodes that lead nothing
-		s.Notes = append(s.Notes, fmt.Sprintf("%d nodes ask one that shares its process", elsewhere))
+	case len(f.failures) > 0:
+		result.InvalidReason = f.failures[0]
+	case result.MaxDelayMS > maxDelayMS || result.LateSampleRatio > maxLateSampleRatio:
+		result.InvalidReason = fmt.Sprintf("the run was %.0f ms late at most, and over %v at %g of its looks", result.MaxDelayMS, lateThreshold, result.LateSampleRatio)
+	case elsewhere > f.size/100: // what that costs is counted at nodes that lead nothing
+		result.Notes = append(result.Notes, fmt.Sprintf("%d nodes ask one that shares its process", elsewhere))
 	}
 }
 
 // mostInASecond gives the most units in any second: of whole steps alone, so that none is counted that is not in it.
-func mostInASecond(steps map[int64]int) (most int) {
-	if len(steps) == 0 {
+func maxUnitsPerSecond(buckets map[int64]int) (maximum int) {
+	if len(buckets) == 0 {
 		return 0
 	}
 	first, last := int64(math.MaxInt64), int64(0)
-	for i := range steps {
+	for i := range buckets {
 		first, last = min(first, i), max(last, i)
 	}
 	sum := 0
 	for i := first; i <= last; i++ {
-		sum += steps[i] - steps[i-1000/unitEvery]
-		most = max(most, sum)
+		sum += buckets[i] - buckets[i-1000/unitBucketMS]
+		maximum = max(maximum, sum)
 	}
-	return most
+	return maximum
 }
 
 // What control may cost at the size that is coming, in the operators' words.
 const (
-	nodeCores     = 0.022
-	controlCores  = 1
-	nodeMB        = 128
-	nodeBytes     = 14_000
-	inForceWithin = 14 * time.Second
-	withoutGrants = 4 // s
-	peakTimes     = 3
+	maxNodeCores       = 0.022
+	maxControlCores    = 1
+	maxNodeMB          = 128
+	maxNodeBytes       = 14_000
+	maxChangeDelay     = 14 * time.Second
+	maxGrantGapSeconds = 4 // s
+	maxPeakRatio       = 3
 )
 
 func (f *fleet) targets() (all []Target) {
-	s := f.seen
-	add := func(what string, got, limit float64) {
-		t := Target{Name: what, Value: round(got), Limit: limit, Met: got <= limit}
+	result := f.result
+	add := func(name string, value, limit float64) {
+		target := Target{Name: name, Value: round(value), Limit: limit, Met: value <= limit}
 		if limit > 0 {
-			t.Ratio = round(got / limit)
+			target.Ratio = round(value / limit)
 		}
-		all = append(all, t)
+		all = append(all, target)
 	}
 	for _, role := range []string{"node", "leader", "spare", "control"} {
-		r, ok := s.Roles[role]
+		r, ok := result.Roles[role]
 		if !ok {
 			continue
-		} else if f.o.ControlNodes > 0 && role != "node" {
-			add(role+", a control machine: cores", r.MaxCPU, controlCores)
+		} else if f.options.ControlNodes > 0 && role != "node" {
+			add(role+", a control machine: cores", r.MaxCPU, maxControlCores)
 			continue
 		}
-		add(role+": cores", r.MaxCPU, nodeCores)
-		memory := r.LiveMB
+		add(role+": cores", r.MaxCPU, maxNodeCores)
+		memoryMB := r.LiveMB
 		if role != "node" { // it has the process for itself
-			memory = r.ResidentMB
+			memoryMB = r.ResidentMB
 		}
-		add(role+": MB", memory, nodeMB)
-		add(role+": bytes a second from and to other nodes and the list service", r.In.MaxBytes+r.Out.MaxBytes+r.List.MaxBytes, nodeBytes)
+		add(role+": MB", memoryMB, maxNodeMB)
+		add(role+": bytes a second from and to other nodes and the list service", r.In.MaxBytes+r.Out.MaxBytes+r.List.MaxBytes, maxNodeBytes)
 	}
-	if r, ok := s.Roles["real"]; ok {
-		add("real node: MB", r.MaxResidentMB, nodeMB)
+	if r, ok := result.Roles["real"]; ok {
+		add("real node: MB", r.MaxResidentMB, maxNodeMB)
 	}
-	add("change in force everywhere: seconds", s.Changes.Max, inForceWithin.Seconds())
-	add("change never in force: nodes and changes", float64(s.Changes.Missing), 0)
-	switch f.o.Scenario {
+	add("change in force everywhere: seconds", result.Changes.Max, maxChangeDelay.Seconds())
+	add("change never in force: nodes and changes", float64(result.Changes.Missing), 0)
+	switch f.options.Scenario {
 	case "zone", "region":
-		add("most words in a second after the return over the mean, at any receiver", s.Peak.Ratio, peakTimes)
+		add("most words in a second after the return over the mean, at any receiver", result.Peak.Ratio, maxPeakRatio)
 	case "steady", "restarts", "leader": // who leads is not to be worse there than where it dies
-		add("busy nodes without a grant, 99 in 100: seconds", s.Units.GapP99, withoutGrants)
+		add("busy nodes without a grant, 99 in 100: seconds", result.Units.GapP99, maxGrantGapSeconds)
 	}
-	add("units taken over the whole in any second", math.Max(0, float64(s.Units.MaxPerSecond-s.Units.Limit)), 0)
+	add("units taken over the whole in any second", math.Max(0, float64(result.Units.MaxPerSecond-result.Units.Limit)), 0)
 	return all
 }
 
 // end ends all that runs.
-func (f *fleet) end() {
+func (f *fleet) shutDown() {
 	select {
-	case <-f.over:
+	case <-f.done:
 	default:
-		close(f.over)
+		close(f.done)
 	}
-	for _, p := range f.procs() {
-		if p == nil || p.dead == nil {
+	for _, p := range f.workerProcesses() {
+		if p == nil || p.exited == nil {
 			continue
 		}
 		p.cmd.Process.Kill()
-		<-p.dead
+		<-p.exited
 	}
-	for _, n := range f.reals {
-		if n.p != nil {
-			n.p.Kill()
+	for _, n := range f.realNodes {
+		if n.proc != nil {
+			n.proc.Kill()
 		}
 	}
 	f.mu.Lock()
-	all := slices.Clone(f.servers)
+	servers := slices.Clone(f.servers)
 	f.mu.Unlock()
-	for _, s := range all {
-		s.Stop()
+	for _, server := range servers {
+		server.Stop()
 	}
 	if f.relay != nil {
 		f.relay.Close()
 	}
-	for _, p := range f.ports {
+	for _, p := range f.reservedPorts {
 		p.Close()
 	}
 }
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -109,11 +109,11 @@
 	for i := range int64(600) {
 		steps[1000+i] = 1
 	}
-	if got := mostInASecond(steps); got != 200 {
+	if got := maxUnitsPerSecond(steps); got != 200 {
 		t.Errorf("%d in a second of 200 steps", got)
 	}
 	steps[1300] = 7
-	if got := mostInASecond(steps); got != 206 {
+	if got := maxUnitsPerSecond(steps); got != 206 {
 		t.Errorf("%d in the second with seven at once", got)
 	}
 	r := &Result{Fleets: []*Fleet{{Targets: []Target{{Met: false}}}, {Targets: []Target{{Met: true}, {Met: true}}}}}
@@ -126,9 +126,9 @@
 		t.Error("a target that does not hold, or a void size, goes unseen")
 	}
 	f := newFleet(Options{Scenario: "leader"}, 100)
-	f.seen.Roles["node"] = Role{MaxCPU: 0.03, LiveMB: 100, In: flow{MaxBytes: 8000}, Out: flow{MaxBytes: 5000}, List: flow{MaxBytes: 2000}}
-	f.seen.Units = UnitUsage{Limit: 400, MaxPerSecond: 401, GapP99: 4.1}
-	f.seen.Changes = ChangeLatency{Max: 14.1, Missing: 1}
+	f.result.Roles["node"] = Role{MaxCPU: 0.03, LiveMB: 100, In: flow{MaxBytes: 8000}, Out: flow{MaxBytes: 5000}, List: flow{MaxBytes: 2000}}
+	f.result.Units = UnitUsage{Limit: 400, MaxPerSecond: 401, GapP99: 4.1}
+	f.result.Changes = ChangeLatency{Max: 14.1, Missing: 1}
 	var over []string
 	for _, x := range f.targets() {
 		if !x.Met {
@@ -169,19 +169,19 @@
 
 // Guards against a node that asks a control machine far away first, and against zones whose nodes all ask one.
 func TestNodesPreferTheControlMachinesNearThem(t *testing.T) {
-	p := place{Nodes: 5700, Control: 32}
+	p := topology{Nodes: 5700, ControlNodes: 32}
 	asked := map[int]int{}
 	for i := range p.Nodes {
-		order := p.prefers(i)
+		order := p.controlOrder(i)
 		if len(order) != 32 || len(slices.Compact(slices.Sorted(slices.Values(order)))) != 32 {
 			t.Fatalf("node %d: %v", i, order)
 		}
-		if zoneOf(p.first()+order[0]) != zoneOf(i) {
-			t.Fatalf("node %d in zone %d asks one in zone %d first", i, zoneOf(i), zoneOf(p.first()+order[0]))
+		if zoneOf(p.firstControlNode()+order[0]) != zoneOf(i) {
+			t.Fatalf("node %d in zone %d asks one in zone %d first", i, zoneOf(i), zoneOf(p.firstControlNode()+order[0]))
 		}
 		region := true
 		for _, c := range order {
-			same := regionOf(zoneOf(p.first()+c)) == regionOf(zoneOf(i))
+			same := regionOf(zoneOf(p.firstControlNode()+c)) == regionOf(zoneOf(i))
 			if same && !region {
 				t.Fatalf("node %d asks its region after others: %v", i, order)
 			}
@@ -194,7 +194,7 @@
 			t.Errorf("control machine %d is asked first by %d nodes", c, n)
 		}
 	}
-	if all := p.all(); len(all) != 5732 || p.is(all[5700]) != 0 || p.is(5699) != -1 || !slices.IsSorted(all) {
+	if all := p.allNodes(); len(all) != 5732 || p.controlIndex(all[5700]) != 0 || p.controlIndex(5699) != -1 || !slices.IsSorted(all) {
 		t.Error("numbers")
 	}
 }
@@ -206,24 +206,24 @@
 	}
 	within, far := 1, 10
 	for _, c := range []struct {
-		off  apart
+		off  partition
 		a, b int
 		want time.Duration
 		cut  bool
 		name string
 	}{
-		{apart{}, 0, 0, 1, false, "zone"}, {apart{}, 0, within, 2, false, "region"}, {apart{}, 0, far, 3, false, "regions"},
-		{apart{Zones: []int{0}}, 0, 0, 1, false, "within the zone"}, {apart{Zones: []int{0}}, within, 0, 2, true, "to the zone"},
-		{apart{Regions: []int{0}}, 0, within, 2, false, "within the region"}, {apart{Regions: []int{0}}, far, 0, 3, true, "to the region"},
-		{apart{Regions: []int{0}}, far, 16, 3, false, "past the region"},
+		{partition{}, 0, 0, 1, false, "zone"}, {partition{}, 0, within, 2, false, "region"}, {partition{}, 0, far, 3, false, "regions"},
+		{partition{Zones: []int{0}}, 0, 0, 1, false, "within the zone"}, {partition{Zones: []int{0}}, within, 0, 2, true, "to the zone"},
+		{partition{Regions: []int{0}}, 0, within, 2, false, "within the region"}, {partition{Regions: []int{0}}, far, 0, 3, true, "to the region"},
+		{partition{Regions: []int{0}}, far, 16, 3, false, "past the region"},
 	} {
-		l.apart.Store(&c.off)
+		l.partition.Store(&c.off)
 		if got, _, cut := l.between(c.a, c.b); got != c.want || cut != c.cut {
 			t.Errorf("%s: %v, %v", c.name, got, cut)
 		}
 	}
 	for _, n := range []int{0, 249, 250, 5699, 11_999} {
-		if got := hollowNode(hollowAddr(n, 9).Addr()); got != n {
+		if got := emulatedNodeAt(emulatedAddr(n, 9).Addr()); got != n {
 			t.Errorf("%d is taken for %d", n, got)
 		}
 	}
--- a/lab/scale/trouble.go
+++ b/lab/scale/trouble.go
@@ -9,219 +9,223 @@
 	"brassmux/lab/emulator"
 )
 
-// happen is the scenario: it goes on for the time that is counted, and for as long as its trouble lasts.
-func (f *fleet) happen() {
-	calm := f.o.Duration / 3 // before the trouble, for the means; and as long after it
-	switch f.o.Scenario {
+// runScenario runs the scenario. It takes the measured duration, and that of the outage in addition if there is one.
+func (f *fleet) runScenario() {
+	phase := f.options.Duration / 3 // before the fault, to measure the baseline; the rest follows the fault
+	switch f.options.Scenario {
 	case "restarts":
-		f.restarts()
+		f.restartInTurn()
 		return
 	case "leader":
-		f.sleep(calm)
-		f.mark()
+		f.sleep(phase)
+		f.markPeak()
 		f.killLeader()
-		f.sleep(2 * calm)
+		f.sleep(2 * phase)
 		return
 	case "steady":
-		f.sleep(f.o.Duration)
+		f.sleep(f.options.Duration)
 		return
 	}
-	f.sleep(calm)
-	switch f.o.Scenario {
+	f.sleep(phase)
+	switch f.options.Scenario {
 	case "zone":
-		lost := f.in(func(n int) bool { return zoneOf(n) == lostZone })
-		f.die(lost)
-		f.sleep(f.o.OutageDuration)
-		f.mark()
-		f.revive(lost)
+		lost := f.nodesWhere(func(n int) bool { return zoneOf(n) == failedZone })
+		f.killNodes(lost)
+		f.sleep(f.options.OutageDuration)
+		f.markPeak()
+		f.reviveNodes(lost)
 	case "region":
-		cut := f.in(func(n int) bool { return regionOf(zoneOf(n)) == cutRegion })
-		f.cut(&apart{Regions: []int{cutRegion}})
-		f.sleep(f.o.OutageDuration)
-		f.mark()
-		f.cameBack(cut)
-		f.cut(&apart{})
+		isolated := f.nodesWhere(func(n int) bool { return regionOf(zoneOf(n)) == isolatedRegion })
+		f.setPartition(&partition{Regions: []int{isolatedRegion}})
+		f.sleep(f.options.OutageDuration)
+		f.markPeak()
+		f.markReturned(isolated)
+		f.setPartition(&partition{})
 	case "cold":
-		all := f.in(func(int) bool { return true })
-		f.die(all)
-		f.sleep(f.o.OutageDuration)
-		f.mark()
-		f.revive(all)
+		all := f.nodesWhere(func(int) bool { return true })
+		f.killNodes(all)
+		f.sleep(f.options.OutageDuration)
+		f.markPeak()
+		f.reviveNodes(all)
 	}
-	f.sleep(2 * calm)
+	f.sleep(2 * phase)
 }
 
-// The zone that is lost, and the region that is cut off: not those of the list service.
+// The zone that fails and the region that is cut off. The list service is in neither.
 const (
-	lostZone  = 5
-	cutRegion = 3
+	failedZone     = 5
+	isolatedRegion = 3
 )
 
-// restartsPart is the part of the nodes that is restarted in the wave.
-const restartsPart = 0.1
+// restartFraction is the fraction of the nodes that scenario "restarts" restarts.
+const restartFraction = 0.1
 
-func (f *fleet) in(is func(node int) bool) (nodes []int) {
-	for _, i := range f.place.all() {
-		if is(i) {
+// nodesWhere returns the indexes of the nodes for which matches returns true, in ascending order.
+func (f *fleet) nodesWhere(matches func(node int) bool) (nodes []int) {
+	for _, i := range f.topology.allNodes() {
+		if matches(i) {
 			nodes = append(nodes, i)
 		}
 	}
 	return nodes
 }
 
-// cameBack has what is in force at nodes counted from now on at the earliest.
-func (f *fleet) cameBack(nodes []int) {
+// markReturned records that nodes return now: for earlier list changes, their delay counts from now on.
+func (f *fleet) markReturned(nodes []int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, n := range nodes {
-		f.back[n] = time.Now()
+		f.returnedAt[n] = time.Now()
 	}
 }
 
-// mark has what comes from now on counted as a wave.
-func (f *fleet) mark() {
-	for _, p := range f.procs() {
-		p.in.Encode(order{Do: doMark})
+// mark ends the baseline of the load peaks in all worker processes.
+func (f *fleet) markPeak() {
+	for _, p := range f.workerProcesses() {
+		p.commands.Encode(command{Action: actionMark})
 	}
 }
 
-// cut sets which places are cut off: at the hollow nodes, at the list service, and on the real nodes' relay.
-func (f *fleet) cut(a *apart) {
-	f.links.apart.Store(a)
-	for _, p := range f.procs() {
-		p.in.Encode(order{Do: doApart, Apart: a})
+// setPartition replaces the partition at the emulated nodes, at the list service and in the relay of the real nodes.
+func (f *fleet) setPartition(partition *partition) {
+	f.links.partition.Store(partition)
+	for _, p := range f.workerProcesses() {
+		p.commands.Encode(command{Action: actionPartition, Partition: partition})
 	}
-	f.shape()
+	f.updateRealNodeLinks()
 }
 
-// shape has the real nodes' ways be as the links are.
-func (f *fleet) shape() {
-	for a := range Zones {
-		for b := range Zones {
-			delay, lose, off := f.links.between(a, b)
+// updateRealNodeLinks applies the current state of the links to the relay of the real nodes.
+func (f *fleet) updateRealNodeLinks() {
+	for from := range Zones {
+		for to := range Zones {
+			delay, lossRate, blocked := f.links.between(from, to)
 			mode := emulator.Pass
-			if off {
+			if blocked {
 				mode = emulator.Drop
 			}
-			f.shaped[a][b].Set(mode, delay)
-			f.shaped[a][b].SetRandomFaults(lose, 0, 0)
+			f.realNodeLinks[from][to].Set(mode, delay)
+			f.realNodeLinks[from][to].SetRandomFaults(lossRate, 0, 0)
 		}
 	}
 }
 
-// known is the list as nodes that start now know it.
-func (f *fleet) known() json.RawMessage {
+// knownList returns the current endpoint list as JSON, for nodes that start now.
+func (f *fleet) knownList() json.RawMessage {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	data, _ := json.Marshal(f.listed())
+	data, _ := json.Marshal(f.listSnapshot())
 	return data
 }
 
-// listed is the list as it is. f.mu is held where others may change it.
-func (f *fleet) listed() map[string]any {
-	entries := []emulator.Endpoint{}
-	for _, s := range f.servers {
-		e := emulator.Endpoint{ID: s.ID, Addr: s.Addr(), State: "up", Weight: 1}
-		if !s.Started.IsZero() {
-			e.Started = s.Started.UnixMilli()
+// listSnapshot returns the current endpoint list. The caller holds f.mu if other goroutines may change the list.
+func (f *fleet) listSnapshot() map[string]any {
+	endpoints := []emulator.Endpoint{}
+	for _, server := range f.servers {
+		endpoint := emulator.Endpoint{ID: server.ID, Addr: server.Addr(), State: "up", Weight: 1}
+		if !server.Started.IsZero() {
+			endpoint.Started = server.Started.UnixMilli()
 		}
-		entries = append(entries, e)
+		endpoints = append(endpoints, endpoint)
 	}
-	return map[string]any{"version": f.version, "full": true, "servers": entries}
+	return map[string]any{"version": f.listVersion, "full": true, "servers": endpoints}
 }
 
-// order tells the parts of the nodes to do something with them.
-func (f *fleet) order(do string, nodes []int, known json.RawMessage) {
-	for _, p := range f.parts {
-		var own []int
-		for _, n := range p.numbers {
+// sendCommand sends a command for some nodes to the worker processes that run them. The nodes are in ascending order.
+func (f *fleet) sendCommand(action string, nodes []int, knownList json.RawMessage) {
+	for _, p := range f.nodeWorkers {
+		var assigned []int
+		for _, n := range p.nodes {
 			if _, ok := slices.BinarySearch(nodes, n); ok {
-				own = append(own, n)
+				assigned = append(assigned, n)
 			}
 		}
-		if len(own) > 0 && !p.killed {
-			p.in.Encode(order{Do: do, Nodes: own, Known: known})
+		if len(assigned) > 0 && !p.killed {
+			p.commands.Encode(command{Action: action, Nodes: assigned, KnownList: knownList})
 		}
 	}
 }
 
-// real gives the real nodes among some.
-func (f *fleet) real(nodes []int) (found []*realNode) {
-	for _, n := range f.reals {
-		if _, ok := slices.BinarySearch(nodes, n.number); ok {
+// realNodesAmong returns the real nodes among some nodes, which are in ascending order.
+func (f *fleet) realNodesAmong(nodes []int) (found []*realNode) {
+	for _, n := range f.realNodes {
+		if _, ok := slices.BinarySearch(nodes, n.index); ok {
 			found = append(found, n)
 		}
 	}
 	return found
 }
 
-// die has nodes die with all they hold.
-func (f *fleet) die(nodes []int) {
-	f.order(doDie, nodes, nil)
-	for _, n := range f.real(nodes) {
+// killNodes stops nodes abruptly. They lose their state.
+func (f *fleet) killNodes(nodes []int) {
+	f.sendCommand(actionKill, nodes, nil)
+	for _, n := range f.realNodesAmong(nodes) {
 		if !n.process().Kill() {
-			f.fault("node %d was not killed", n.number)
+			f.failf("node %d was not killed", n.index)
 		}
 	}
 }
 
-// revive starts them anew, all at once, with the list that their files have: the one of the run's start.
-func (f *fleet) revive(nodes []int) {
-	f.cameBack(nodes)
-	f.order(doBack, nodes, nil)
-	for _, n := range f.real(nodes) {
+// reviveNodes starts killed nodes again, all at once, with the endpoint list of their configuration: that of the start
+// of the run.
+func (f *fleet) reviveNodes(nodes []int) {
+	f.markReturned(nodes)
+	f.sendCommand(actionRevive, nodes, nil)
+	for _, n := range f.realNodesAmong(nodes) {
 		go func() {
-			if err := f.startReal(n); err != nil {
-				f.fault("%v", err)
+			if err := f.startRealNode(n); err != nil {
+				f.failf("%v", err)
 			}
 		}()
 	}
 }
 
-// restarts has a tenth of the nodes stop in order and start anew, one after the other over two thirds of the time.
-func (f *fleet) restarts() {
-	begun := time.Now()
-	first := f.leaders()[0] // its death is another scenario
+// restartInTurn shuts down and restarts a tenth of the nodes, one after the other, spread over two thirds of the
+// measured duration.
+func (f *fleet) restartInTurn() {
+	started := time.Now()
+	leader := f.leaderCandidates()[0] // scenario "leader" covers its failure
 	var nodes []int
-	for i := range f.n {
-		if i%int(1/restartsPart) == 3 && i != first {
+	for i := range f.size {
+		if i%int(1/restartFraction) == 3 && i != leader {
 			nodes = append(nodes, i)
 		}
 	}
 	for i, n := range nodes {
-		if !f.sleep(time.Until(begun.Add(f.o.Duration * 2 / 3 * time.Duration(i) / time.Duration(len(nodes))))) {
+		if !f.sleep(time.Until(
+			started.Add(f.options.Duration * 2 / 3 * time.Duration(i) / time.Duration(len(nodes))))) {
 			return
 		}
-		f.cameBack([]int{n})
-		f.order(doAgain, []int{n}, f.known())
-		for _, n := range f.real([]int{n}) {
+		f.markReturned([]int{n})
+		f.sendCommand(actionRestart, []int{n}, f.knownList())
+		for _, n := range f.realNodesAmong([]int{n}) {
 			go func() {
 				p := n.process()
 				p.Stop()
 				<-p.Exited
-				if err := f.startReal(n); err != nil {
-					f.fault("%v", err)
+				if err := f.startRealNode(n); err != nil {
+					f.failf("%v", err)
 				}
 			}()
 		}
 	}
-	f.sleep(time.Until(begun.Add(f.o.Duration)))
+	f.sleep(time.Until(started.Add(f.options.Duration)))
 }
 
-// killLeader kills the process of whoever leads.
+// killLeader kills the worker process of the leader. It does not come back.
 func (f *fleet) killLeader() {
-	for _, p := range f.parts {
+	for _, p := range f.nodeWorkers {
 		if p.role != "leader" {
 			continue
 		}
 		f.mu.Lock()
-		for _, n := range p.numbers {
-			f.gone[n] = true
+		for _, n := range p.nodes {
+			f.killed[n] = true
 		}
 		p.killed = true
-		delete(f.states, p)
+		delete(f.leaderStates, p)
 		f.mu.Unlock()
 		p.cmd.Process.Signal(syscall.SIGKILL)
-		<-p.dead
+		<-p.exited
 	}
 }
