--- a/lab/scale/scale.go
+++ b/lab/scale/scale.go
@@ -24,17 +24,17 @@
 	"brassmux/lab/process"
 )
 
-// Options say what is played.
+// Options configures a run.
 type Options struct {
-	Nodes          []int         // sizes, hollow and real nodes together
-	RealNodes      int           // processes of the program among them that serve real clients
-	Seed           uint64        // for the nodes, their traffic and chance
-	Duration       time.Duration // that is counted over, in each fleet
-	ControlNodes   int           // control machines beside them; 0 where control is flat
-	Scenario       string        // one of Scenarios
-	OutageDuration time.Duration // how long a cut or a loss lasts, where the scenario has one
-	Binary         string        // of the program; "" for the one that runs
-	Log            io.Writer     // of what goes on; nil for none
+	Nodes          []int         // fleet sizes in ascending order, emulated and real nodes together
+	RealNodes      int           // number of real node processes among them, which serve real clients
+	Seed           uint64        // seed of the random numbers of nodes, traffic and clients
+	Duration       time.Duration // measured time in each fleet
+	ControlNodes   int           // control nodes in addition to Nodes; 0 if all nodes are peers
+	Scenario       string        // one of those returned by Scenarios
+	OutageDuration time.Duration // length of the outage in the scenarios that have one
+	Binary         string        // path of the program; "" for the running one
+	Log            io.Writer     // destination of progress messages; nil for none
 }
 
 // Bounds of the options.
@@ -43,83 +43,88 @@
 	maxRealNodes             = 60
 	maxControlNodes          = 32
 	minDuration, maxDuration = 5 * time.Second, 10 * time.Minute
-	nodesPerWorker           = 300 // hollow nodes
+	nodesPerWorker           = 300 // emulated nodes of one worker process
 )
 
-// Scenarios are those that can be played.
+// Scenarios returns the names of the scenarios.
 func Scenarios() []string { return []string{"steady", "restarts", "zone", "region", "cold", "leader"} }
 
-// Check names the first option that is faulty.
+// Check returns an error for the first invalid option.
 func (o *Options) Check() error {
 	if len(o.Nodes) == 0 {
-		return errors.New("--nodes: none")
+		return errors.New("--nodes: at least one size is required")
 	}
 	for i, n := range o.Nodes {
 		if n < minNodes || n > maxNodes {
-			return fmt.Errorf("--nodes: %d is not %d to %d", n, minNodes, maxNodes)
+			return fmt.Errorf("--nodes: %d is not between %d and %d", n, minNodes, maxNodes)
 		} else if i > 0 && n <= o.Nodes[i-1] {
-			return fmt.Errorf("--nodes: %d is not over the one before it", n)
+			return fmt.Errorf("--nodes: %d is not greater than the size before it", n)
 		}
 		if o.RealNodes < 0 || o.RealNodes > maxRealNodes || o.RealNodes > n/4 {
-			return fmt.Errorf("--real: %d is not 0 to %d, and a fourth of the nodes at most", o.RealNodes, maxRealNodes)
+			return fmt.Errorf("--real: %d is not between 0 and %d, or is more than a fourth of the nodes",
+				o.RealNodes, maxRealNodes)
 		}
 	}
 	if o.ControlNodes < 0 || o.ControlNodes > maxControlNodes {
-		return fmt.Errorf("--control: %d is not 0 to %d", o.ControlNodes, maxControlNodes)
+		return fmt.Errorf("--control: %d is not between 0 and %d", o.ControlNodes, maxControlNodes)
 	}
 	if o.Duration < minDuration || o.Duration > maxDuration {
-		return fmt.Errorf("--for: %v is not %v to %v", o.Duration, minDuration, maxDuration)
+		return fmt.Errorf("--for: %v is not between %v and %v", o.Duration, minDuration, maxDuration)
 	}
 	if o.OutageDuration < time.Second || o.OutageDuration > maxDuration {
-		return fmt.Errorf("--cut: %v is not 1s to %v", o.OutageDuration, maxDuration)
+		return fmt.Errorf("--cut: %v is not between 1s and %v", o.OutageDuration, maxDuration)
 	}
 	if !slices.Contains(Scenarios(), o.Scenario) {
-		return fmt.Errorf("--scenario: %q is none of %s", o.Scenario, strings.Join(Scenarios(), ", "))
+		return fmt.Errorf("--scenario: %q is not one of %s", o.Scenario, strings.Join(Scenarios(), ", "))
 	}
 	return nil
 }
 
-// Result is what was counted with all sizes.
+// Result holds the figures of a run at all fleet sizes.
 type Result struct {
 	Scenario        string   `json:"scenario"`
 	Seed            uint64   `json:"seed"`
-	ControlNodes    int      `json:"control"` // control machines; 0 where control is flat
+	ControlNodes    int      `json:"control"` // control nodes; 0 if all nodes are peers
 	DurationSeconds float64  `json:"for_s"`
 	Fleets          []*Fleet `json:"fleets"`
-	Slopes          []Slope  `json:"slopes"` // over the sizes; none under four of them
+	Slopes          []Slope  `json:"slopes"` // growth over the sizes; empty for fewer than four
 }
 
-// Fleet is what was counted with one size.
+// Fleet holds the figures at one size.
 type Fleet struct {
-	Nodes           int             `json:"nodes"`
-	RealNodes       int             `json:"real"`
-	InvalidReason   string          `json:"void"`       // why the run says nothing; "" where it does
-	Settled         bool            `json:"settled"`    // before it began all nodes followed the list and one keeper
-	MaxDelayMS      float64         `json:"late_ms"`    // the most by which any process of the run itself was late, of those that lead nothing
-	LateSampleRatio float64         `json:"late_looks"` // part of its looks at the clock at which the worst of them was 100 ms late
-	StartupSeconds  float64         `json:"start_s"`    // until all served
+	Nodes         int    `json:"nodes"`
+	RealNodes     int    `json:"real"`
+	InvalidReason string `json:"void"` // why the figures are invalid; "" if they are valid
+	// Settled reports whether all nodes had applied the list and over 99% followed a leader before the measurement.
+	Settled bool `json:"settled"`
+	// MaxDelayMS and LateSampleRatio are maxima over the processes of the run itself, without those of leader
+	// candidates: the delay in milliseconds, and the fraction of the delay samples above 100 ms.
+	MaxDelayMS      float64         `json:"late_ms"`
+	LateSampleRatio float64         `json:"late_looks"`
+	StartupSeconds  float64         `json:"start_s"` // time until all nodes served
 	Roles           map[string]Role `json:"roles"`
 	Changes         ChangeLatency   `json:"changes"`
 	Units           UnitUsage       `json:"units"`
 	Peak            Peak            `json:"peak"`
-	Clients         map[string]int  `json:"clients"` // the real ones
+	Clients         map[string]int  `json:"clients"` // outcomes of the sessions of real clients
 	Targets         []Target        `json:"targets"`
 	Notes           []string        `json:"notes,omitempty"`
 }
 
-// Role is what one machine of a role used and met, a second: the mean over those of the role, and the most at any.
+// Role holds the resource usage and the traffic of one node of a role: the mean over the nodes of the role, and the
+// maximum of any of them. Rates are per second.
 type Role struct {
 	Nodes         int              `json:"machines"`
 	CPU           float64          `json:"cores"`
-	MaxCPU        float64          `json:"most_cores"` // of a process: hollow nodes that share one count as its mean
-	LiveMB        float64          `json:"live_mb"`    // in use after a collection; 0 where it was not looked at
+	MaxCPU        float64          `json:"most_cores"` // emulated nodes that share a process count as its mean
+	LiveMB        float64          `json:"live_mb"`    // in use after a garbage collection; 0 if not measured
 	ResidentMB    float64          `json:"resident_mb"`
 	MaxResidentMB float64          `json:"most_resident_mb"`
 	Descriptors   float64          `json:"descriptors"`
-	In            flow             `json:"in"`   // from other nodes
-	Out           flow             `json:"out"`  // to them
-	List          flow             `json:"list"` // from the list service; for that itself, to all
-	Dropped       int64            `json:"lost"` // words that came and were not looked at
+	In            flow             `json:"in"`   // received from other nodes
+	Out           flow             `json:"out"`  // sent to other nodes
+	List          flow             `json:"list"` // received from the list service
+	Dropped       int64            `json:"lost"` // messages received but not processed
 	Counters      map[string]int64 `json:"counters,omitempty"`
 	Processes     int              `json:"processes"`
 }
@@ -127,10 +132,10 @@
 // ChangeLatency summarizes the seconds between making a list change and its application at the nodes.
 type ChangeLatency struct {
 	Count   int     `json:"made"`
-	Median  float64 `json:"half"`  // at half of the nodes, in the mean of the changes
-	P99     float64 `json:"p99"`   // at 99 in 100, at the worst of the changes
-	Max     float64 `json:"all"`   // at all, at the worst of the changes that got there
-	Missing int     `json:"never"` // nodes and changes that did not meet, with time enough
+	Median  float64 `json:"half"`  // at half of the nodes, mean of the changes
+	P99     float64 `json:"p99"`   // at 99% of the nodes, maximum of the changes
+	Max     float64 `json:"all"`   // at the last node that applied it, maximum of the changes
+	Missing int     `json:"never"` // pairs of node and change where the change was not applied in time
 }
 
 // Peak is the load peak after a fault ends: the most messages that a receiver got in any second after it, divided by
@@ -149,17 +154,17 @@
 	Taken        int64   `json:"taken"`
 	Refused      int64   `json:"refused"`
 	MaxPerSecond int     `json:"most"`      // in any second
-	GapP99       float64 `json:"gap_p99_s"` // longest time in which a busy node was granted nothing, 99 in 100 of them
+	GapP99       float64 `json:"gap_p99_s"` // 99th percentile over busy nodes of the longest time without a grant
 	MaxGap       float64 `json:"gap_most_s"`
 }
 
-// Target is what control may cost, and what it did.
+// Target compares a figure of the control plane with its limit.
 type Target struct {
 	Name  string  `json:"what"`
 	Value float64 `json:"got"`
 	Limit float64 `json:"limit"`
 	Met   bool    `json:"holds"`
-	Ratio float64 `json:"factor"` // got over limit
+	Ratio float64 `json:"factor"` // value divided by limit
 }
 
 // TargetsMet reports whether the largest fleet met every target.
@@ -177,7 +182,7 @@
 	return ""
 }
 
-// Run plays all sizes, one after the other.
+// Run measures fleets of all sizes, one after the other.
 func Run(o Options) (*Result, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
@@ -196,7 +201,8 @@
 	if err := process.RaiseDescriptorLimit(2*largest + 1000); err != nil {
 		return nil, err
 	}
-	result := &Result{Scenario: o.Scenario, Seed: o.Seed, ControlNodes: o.ControlNodes, DurationSeconds: o.Duration.Seconds()}
+	result := &Result{
+		Scenario: o.Scenario, Seed: o.Seed, ControlNodes: o.ControlNodes, DurationSeconds: o.Duration.Seconds()}
 	for _, size := range o.Nodes {
 		f := newFleet(o, size)
 		counted, err := f.run()
@@ -211,49 +217,52 @@
 
 const (
 	serverCount        = 30
-	clientsPerRealNode = 10 // at a real node
-	unitsPerNode       = 4  // a second, of what all nodes together may take
-	candidateCount     = 8  // nodes that are asked first whether they lead: each has a process of its own, so that what that costs is counted alone
-	// lateMost is how late any process of the run may be before the run says nothing: half of the silence after which a node takes who leads
-	// for gone. lateLooks is the part of its looks that may be late at all.
-	maxDelayMS         = 500 // ms
+	clientsPerRealNode = 10 // clients of each real node
+	unitsPerNode       = 4  // common limit of all nodes, in units per second and node
+	// candidateCount is the number of first nodes in the leader ranking. Each runs in a separate process, so that the
+	// cost of leading is measured separately.
+	candidateCount = 8
+	// maxDelayMS is the maximum delay in milliseconds of any process of a valid run: half of the silence after which a
+	// node considers the leader lost. maxLateSampleRatio is the fraction of the delay samples that may be late.
+	maxDelayMS         = 500
 	maxLateSampleRatio = 0.01
 )
 
-// fleet is one size.
+// fleet coordinates the measurement at one size.
 type fleet struct {
 	options        Options
 	size           int
 	result         *Fleet
 	starter        *process.Starter
 	topology       topology
-	reservedPorts  []net.PacketConn // held, so that another run beside this one takes others
+	reservedPorts  []net.PacketConn // kept open so that a concurrent run uses other ports
 	relay          *emulator.DatagramNetwork
 	links          *links
-	realNodeLinks  [Zones][Zones]emulator.Direction // of the real nodes' datagrams, as the links are
+	realNodeLinks  [Zones][Zones]emulator.Direction // links of the datagrams of real nodes
 	list           *workerProcess
-	nodeWorkers    []*workerProcess // of hollow nodes
+	nodeWorkers    []*workerProcess // processes of emulated nodes
 	hasOwnProcess  map[int]bool
-	killed         map[int]bool // nodes that do not come back
+	killed         map[int]bool // nodes that are killed and not revived
 	realNodes      []*realNode
 	configTemplate map[string]any
 
 	mu               sync.Mutex
 	servers          []*emulator.Server
 	lastServerNumber int
-	listVersion      int64 // of the list
+	listVersion      int64 // version of the endpoint list
 	changedAt        map[int64]time.Time
-	applied          map[int64]map[int]time.Duration // by version and node, since it was made, or since the node came back if that was later
-	returnedAt       map[int]time.Time               // when nodes came back
-	unitCounts       map[int64]int
-	leaderStates     map[*workerProcess]*leaderState
-	failures         []string
-	delays           delayMonitor
-	done             chan struct{}
-	clientStats      clientStats
+	// applied holds, by version and node, the delay from the change, or from the return of the node if that was later.
+	applied      map[int64]map[int]time.Duration
+	returnedAt   map[int]time.Time // by node: time of its last return
+	unitCounts   map[int64]int
+	leaderStates map[*workerProcess]*leaderState
+	failures     []string
+	delays       delayMonitor
+	done         chan struct{}
+	clientStats  clientStats
 }
 
-// proc is a process of hollow nodes, or the list service's.
+// workerProcess is a process of emulated nodes, or that of the list service, as seen by the coordinator.
 type workerProcess struct {
 	role     string
 	nodes    []int
@@ -261,19 +270,27 @@
 	commands *json.Encoder
 	reports  chan report
 	exited   chan struct{}
-	killed   bool // by the scenario
+	killed   bool // killed by the scenario
 }
 
 func newFleet(options Options, size int) *fleet {
-	return &fleet{options: options, size: size, result: &Fleet{Nodes: size, RealNodes: options.RealNodes, Roles: map[string]Role{}}, hasOwnProcess: map[int]bool{}, killed: map[int]bool{},
-		links:     newLinks(Links{WithinZone: 250 * time.Microsecond, WithinRegion: time.Millisecond, BetweenRegions: 40 * time.Millisecond, LossRate: 0.001}),
-		changedAt: map[int64]time.Time{}, applied: map[int64]map[int]time.Duration{}, returnedAt: map[int]time.Time{}, unitCounts: map[int64]int{}, leaderStates: map[*workerProcess]*leaderState{}, done: make(chan struct{})}
+	return &fleet{
+		options: options, size: size,
+		result:        &Fleet{Nodes: size, RealNodes: options.RealNodes, Roles: map[string]Role{}},
+		hasOwnProcess: map[int]bool{}, killed: map[int]bool{},
+		links: newLinks(Links{WithinZone: 250 * time.Microsecond, WithinRegion: time.Millisecond,
+			BetweenRegions: 40 * time.Millisecond, LossRate: 0.001}),
+		changedAt: map[int64]time.Time{}, applied: map[int64]map[int]time.Duration{},
+		returnedAt: map[int]time.Time{}, unitCounts: map[int64]int{},
+		leaderStates: map[*workerProcess]*leaderState{}, done: make(chan struct{})}
 }
 
+// logf writes a progress message.
 func (f *fleet) logf(format string, args ...any) {
 	fmt.Fprintf(f.options.Log, "%d nodes: %s\n", f.size, fmt.Sprintf(format, args...))
 }
 
+// failf records a failure, which makes the run invalid. It keeps the first ten.
 func (f *fleet) failf(format string, args ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -282,7 +299,7 @@
 	}
 }
 
-// realNumbers are those of the real nodes: the last ones that lead nothing.
+// realNodeIndexes returns the indexes of the real nodes: the last ones that are not leader candidates.
 func (f *fleet) realNodeIndexes() (indexes []int) {
 	candidates := f.leaderCandidates()
 	for i := f.size - 1; len(indexes) < f.options.RealNodes; i-- {
@@ -293,7 +310,7 @@
 	return indexes
 }
 
-// play plays one size.
+// run measures one size.
 func (f *fleet) run() (*Fleet, error) {
 	f.starter = process.NewStarter()
 	defer f.starter.Close()
@@ -306,14 +323,14 @@
 		return nil, err
 	}
 	f.result.StartupSeconds = time.Since(started).Seconds()
-	f.logf("all serve after %.1f s", f.result.StartupSeconds)
+	f.logf("all nodes serve after %.1f s", f.result.StartupSeconds)
 	f.settle()
 	f.measure(f.runScenario)
 	f.evaluate()
 	return f.result, nil
 }
 
-// open brings up all but the nodes.
+// prepare starts the list service, the servers and the worker processes, but no nodes.
 func (f *fleet) prepare() (err error) {
 	f.topology = topology{Nodes: f.size, ControlNodes: f.options.ControlNodes}
 	for _, port := range []*int{&f.topology.PeerPort, &f.topology.ChildPort} {
@@ -323,12 +340,13 @@
 		}
 		f.reservedPorts, *port = append(f.reservedPorts, conn), conn.LocalAddr().(*net.UDPAddr).Port
 	}
-	if f.relay, err = emulator.NewDatagramNetwork(f.topology.firstControlNode()+f.options.ControlNodes, f.options.Seed); err != nil {
+	if f.relay, err = emulator.NewDatagramNetwork(
+		f.topology.firstControlNode()+f.options.ControlNodes, f.options.Seed); err != nil {
 		return err
 	}
 	realIndexes := f.realNodeIndexes()
 	f.updateRealNodeLinks()
-	var unshaped emulator.Direction // hollow nodes shape their own
+	var unshaped emulator.Direction // emulated nodes shape their own datagrams
 	f.relay.SharedDirection = func(from, to int) *emulator.Direction {
 		if slices.Contains(realIndexes, from) {
 			return &f.realNodeLinks[zoneOf(from)][zoneOf(to)]
@@ -341,14 +359,16 @@
 	}
 	for _, i := range f.topology.allNodes() {
 		if port := f.topology.PeerPort; !slices.Contains(realIndexes, i) {
-			if f.options.ControlNodes > 0 && f.topology.controlIndex(i) >= 0 { // what real nodes reach of it
+			// Real nodes contact control nodes at their port for ordinary nodes.
+			if f.options.ControlNodes > 0 && f.topology.controlIndex(i) >= 0 {
 				port = f.topology.ChildPort
 			}
 			f.relay.SetNodeAddr(i, emulatedAddr(i, port), false)
 		}
 	}
 	f.list = &workerProcess{role: "list"}
-	if err := f.spawn(f.list, setup{Role: "list", Seed: f.options.Seed, RealNodeAddrs: realNodeAddrs, Links: f.links.Links}); err != nil {
+	if err := f.spawn(f.list, setup{
+		Role: "list", Seed: f.options.Seed, RealNodeAddrs: realNodeAddrs, Links: f.links.Links}); err != nil {
 		return err
 	}
 	reply, err := f.list.awaitReport(actionSetup, 20*time.Second)
@@ -362,7 +382,7 @@
 	}
 	var addrs []string
 	for i := range f.size {
-		if f.options.ControlNodes > 0 { // nobody knows all
+		if f.options.ControlNodes > 0 { // ordinary nodes have the addresses of control nodes only
 			break
 		}
 		if addrs = append(addrs, realNodeAddrs[i]); addrs[i] == "" {
@@ -387,7 +407,8 @@
 			}
 		}
 	}
-	for workers := (len(emulated) + nodesPerWorker - 1) / nodesPerWorker; workers > 0; workers-- { // of like size
+	// Splits the remaining nodes into groups of similar size.
+	for workers := (len(emulated) + nodesPerWorker - 1) / nodesPerWorker; workers > 0; workers-- {
 		count := (len(emulated) + workers - 1) / workers
 		groups = append(groups, emulated[:count])
 		emulated = emulated[count:]
@@ -404,8 +425,9 @@
 			}
 		}
 		f.nodeWorkers = append(f.nodeWorkers, proc)
-		setup := setup{Role: "hollow", Seed: f.options.Seed, Topology: f.topology, RealNodeAddrs: realNodeAddrs, Nodes: group, Config: config, Links: f.links.Links}
-		if group[0] < f.size { // control machines have no clients
+		setup := setup{Role: "hollow", Seed: f.options.Seed, Topology: f.topology, RealNodeAddrs: realNodeAddrs,
+			Nodes: group, Config: config, Links: f.links.Links}
+		if group[0] < f.size { // control nodes have no clients
 			setup.Traffic = f.traffic()
 		}
 		if err := f.spawn(proc, setup); err != nil {
@@ -418,7 +440,7 @@
 	return nil
 }
 
-// leaders gives the numbers of who is asked first whether it leads, the first one first: each has a process of its own.
+// leaderCandidates returns the nodes that may become leader, first choice first. Each runs in a separate process.
 func (f *fleet) leaderCandidates() []int {
 	if f.options.ControlNodes == 0 {
 		return leaderRanking(f.size)[:candidateCount]
@@ -430,32 +452,36 @@
 	return candidates
 }
 
-// traffic asks for three fifths of the whole, half of it at a tenth of the nodes, which get the most of it from others.
+// traffic returns a load of three fifths of the common limit, half of it at a tenth of the nodes. These need three
+// times their own share, so that most of their units are lent by others.
 func (f *fleet) traffic() traffic {
-	return traffic{Kind: "retries_per_s", BaseRate: 0.6 * unitsPerNode * 0.5 / 0.9, BusyRate: 0.6 * unitsPerNode * 0.5 / 0.1, BusyInterval: 10}
+	return traffic{Kind: "retries_per_s", BaseRate: 0.6 * unitsPerNode * 0.5 / 0.9,
+		BusyRate: 0.6 * unitsPerNode * 0.5 / 0.1, BusyInterval: 10}
 }
 
-// config is that of any node, but for what is its own.
+// config returns the node configuration without the parts that differ between nodes.
 func (f *fleet) config(listAddr string, addrs []string) map[string]any {
 	return map[string]any{"discovery": listAddr, "limits": map[string]any{"cores": 1, "sockets": 4096},
 		"known": f.listSnapshot(),
 		"settings": map[string]any{"balancers": f.size, "tick_us": 5000, "membership_mode": "pushed",
-			"ceilings": map[string]any{"dial_timeout_us": 200000, "keepalive_us": 5000000, "max_open": 2000, "max_retry_after_us": 1000000,
-				"may_probe": false, "retry_after": true, "send_cap": 3, "peers": true},
-			"classes":     []any{map[string]any{"name": "c", "effect": "read_like", "deadline_us": 2_000_000}},
-			"family_info": map[string]any{"message_aim_us": []float64{300000}, "tenant_quota_connections": []float64{float64(8 * f.size)}},
-			"report":      map[string]any{"fields": []string{"x0"}, "via": "probe"},
-			"rules":       map[string]any{"cold_from": 0.2, "cold_us": 6_000_000, "fall_multiple": 3, "fall_us": 1_000_000}},
+			"ceilings": map[string]any{"dial_timeout_us": 200000, "keepalive_us": 5000000, "max_open": 2000,
+				"max_retry_after_us": 1000000, "may_probe": false, "retry_after": true, "send_cap": 3, "peers": true},
+			"classes": []any{map[string]any{"name": "c", "effect": "read_like", "deadline_us": 2_000_000}},
+			"family_info": map[string]any{"message_aim_us": []float64{300000},
+				"tenant_quota_connections": []float64{float64(8 * f.size)}},
+			"report": map[string]any{"fields": []string{"x0"}, "via": "probe"},
+			"rules": map[string]any{"cold_from": 0.2, "cold_us": 6_000_000, "fall_multiple": 3,
+				"fall_us": 1_000_000}},
 		"peers":   map[string]any{"nodes": addrs},
 		"budgets": map[string]any{"lease": true, "floor": 0.5, "retries_per_s": unitsPerNode * f.size}}
 }
 
-// procs are all processes but the real nodes'.
+// workerProcesses returns all processes except those of the real nodes.
 func (f *fleet) workerProcesses() []*workerProcess {
 	return append([]*workerProcess{f.list}, f.nodeWorkers...)
 }
 
-// spawn starts a part.
+// spawn starts a worker process and sends it its setup.
 func (f *fleet) spawn(p *workerProcess, setup setup) error {
 	p.cmd = exec.Command(f.options.Binary, "lab", "scale-part")
 	p.cmd.Env = []string{"PATH=" + os.Getenv("PATH")}
@@ -480,7 +506,7 @@
 				break
 			}
 			if r.Err != "" {
-				f.failf("a process of %s nodes: %s", p.role, r.Err)
+				f.failf("worker process for role %s: %s", p.role, r.Err)
 			}
 			if r.Action == "sample" {
 				f.recordSample(p, r)
@@ -488,7 +514,7 @@
 			}
 			select {
 			case p.reports <- r:
-			default: // nobody waits for it
+			default: // drops a report that no caller awaits
 			}
 		}
 		p.cmd.Wait()
@@ -497,7 +523,7 @@
 	return p.commands.Encode(command{Action: actionSetup, Setup: &setup})
 }
 
-// next waits for a report.
+// awaitReport waits for the report on an action.
 func (p *workerProcess) awaitReport(action string, timeout time.Duration) (report, error) {
 	deadline := time.After(timeout)
 	for {
@@ -509,14 +535,15 @@
 				return r, nil
 			}
 		case <-p.exited:
-			return report{}, fmt.Errorf("a process of %s nodes ended before %s", p.role, action)
+			return report{}, fmt.Errorf("worker process for role %s exited before its report on %s", p.role, action)
 		case <-deadline:
-			return report{}, fmt.Errorf("a process of %s nodes did not %s within %v", p.role, action, timeout)
+			return report{}, fmt.Errorf("worker process for role %s did not report on %s within %v",
+				p.role, action, timeout)
 		}
 	}
 }
 
-// sampled takes in what a part tells all the time.
+// recordSample adds a periodic report of a worker process to the figures.
 func (f *fleet) recordSample(p *workerProcess, r report) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -531,7 +558,7 @@
 	f.leaderStates[p] = r.State
 }
 
-// inForce notes that versions are in force at a node. f.mu is held.
+// recordApplied records that a node applied the list versions above from and up to to. The caller holds f.mu.
 func (f *fleet) recordApplied(node int, from, to int64, appliedAt time.Time) {
 	for version := from + 1; version <= to; version++ {
 		changedAt, ok := f.changedAt[version]
@@ -550,7 +577,7 @@
 	}
 }
 
-// put has the list service make a change.
+// updateList changes an endpoint at the list service.
 func (f *fleet) updateList(endpoint emulator.Endpoint) {
 	f.mu.Lock()
 	f.listVersion++
@@ -559,6 +586,7 @@
 	f.list.commands.Encode(command{Action: actionUpdateList, Endpoint: &endpoint})
 }
 
+// addServer starts a server and adds it to the endpoint list. A zero startedAt means that it is already warm.
 func (f *fleet) addServer(startedAt time.Time) error {
 	f.mu.Lock()
 	f.lastServerNumber++
@@ -581,7 +609,7 @@
 	return nil
 }
 
-// start starts all nodes and returns once they serve.
+// start starts all nodes and returns when they serve.
 func (f *fleet) start() error {
 	for _, p := range f.nodeWorkers {
 		p.commands.Encode(command{Action: actionStart})
@@ -607,10 +635,10 @@
 	return <-errs
 }
 
-// changeEvery is the time between two changes of the list on an ordinary day: 18,000 a day.
+// changeInterval is the time between two changes of the list on an ordinary day, which has 18,000.
 const changeInterval = 4800 * time.Millisecond
 
-// changes has the list change until the end, by turns: a server starts, the oldest drains, it goes.
+// changeList changes the list until the run is over, in turn: it adds a server, drains the oldest, and removes that.
 func (f *fleet) changeList() {
 	var draining *emulator.Server
 	next := time.Now()
@@ -625,7 +653,7 @@
 		switch i % 3 {
 		case 0:
 			if err := f.addServer(time.Now()); err != nil {
-				f.failf("a server does not start: %v", err)
+				f.failf("starting a server: %v", err)
 			}
 		case 1:
 			draining = oldest
@@ -641,7 +669,7 @@
 	}
 }
 
-// sleep waits, and tells whether the run still goes on.
+// sleep waits for d, and reports whether the run goes on.
 func (f *fleet) sleep(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -653,7 +681,7 @@
 	}
 }
 
-// everywhere waits until a version is at all nodes, and tells whether it came to that.
+// awaitApplied waits until all nodes have applied a list version, and reports whether they did so within the timeout.
 func (f *fleet) awaitApplied(version int64, timeout time.Duration) bool {
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
 		f.mu.Lock()
@@ -666,7 +694,7 @@
 	return false
 }
 
-// followed tells how many nodes ask each keeper, and how many of them know that most do.
+// leaderCounts returns the number of emulated nodes by leader, and the number of nodes whose leader has a quorum.
 func (f *fleet) leaderCounts() (nodesByLeader map[int]int, inQuorum int) {
 	nodesByLeader = map[int]int{}
 	f.mu.Lock()
@@ -680,7 +708,7 @@
 	return nodesByLeader, inQuorum
 }
 
-// whom tells whom nodes ask.
+// describeLeaders returns a summary of the number of nodes by leader.
 func describeLeaders(nodesByLeader map[int]int) string {
 	leaders, mostFollowed, followers := 0, -1, 0
 	for _, leader := range slices.Sorted(maps.Keys(nodesByLeader)) {
@@ -690,13 +718,14 @@
 			}
 		}
 	}
-	return fmt.Sprintf("%d nodes ask nobody, the others %d keepers, most (%d) number %d", nodesByLeader[-1], leaders, followers, mostFollowed)
+	return fmt.Sprintf("%d nodes ask nobody, the others %d keepers, most (%d) number %d",
+		nodesByLeader[-1], leaders, followers, mostFollowed)
 }
 
-// settle waits until all follow the list, and until what the start brought about is over.
+// settle waits until all nodes have applied the list and follow a leader, and until the effects of the start are over.
 func (f *fleet) settle() {
 	if err := f.addServer(time.Now()); err != nil {
-		f.failf("a server does not start: %v", err)
+		f.failf("starting a server: %v", err)
 	}
 	if f.result.Settled = f.awaitApplied(f.listVersion, 45*time.Second); !f.result.Settled {
 		f.mu.Lock()
@@ -713,19 +742,19 @@
 	}
 	nodesByLeader, inQuorum := f.leaderCounts()
 	f.result.Settled = f.result.Settled && inQuorum > (f.size+f.options.ControlNodes-f.options.RealNodes)*99/100
-	f.logf("%s; %d know that most do as they do", describeLeaders(nodesByLeader), inQuorum)
+	f.logf("%s; %d nodes have a leader with a quorum", describeLeaders(nodesByLeader), inQuorum)
 	resident := 0.0
 	for _, p := range f.workerProcesses() {
 		resident += process.ReadUsage(strconv.Itoa(p.cmd.Process.Pid)).Resident
 	}
 	if f.logf("%.0f MB resident", resident/1e6); resident > totalMemory()/2 {
-		f.failf("%.0f MB are in use, over half of the machine's memory", resident/1e6)
+		f.failf("worker processes use %.0f MB, more than half of the machine's memory", resident/1e6)
 	}
 	go f.startClients()
-	time.Sleep(6 * time.Second) // a promise binds for less
+	time.Sleep(6 * time.Second) // longer than the term of any lease
 }
 
-// span counts over what is done.
+// measure runs the scenario and collects the figures of all processes over its duration.
 func (f *fleet) measure(scenario func()) {
 	f.mu.Lock()
 	clear(f.changedAt)
@@ -758,12 +787,14 @@
 			continue
 		}
 		byRole[p.role] = append(byRole[p.role], reply.Measurement)
-		if p.role == "node" { // the others' own work may be too much for them
-			f.result.MaxDelayMS, f.result.LateSampleRatio = max(f.result.MaxDelayMS, reply.Measurement.MaxDelayMS), max(f.result.LateSampleRatio, round(reply.Measurement.LateSampleRatio))
+		if p.role == "node" { // the processes of other roles may be delayed by the work that is measured
+			f.result.MaxDelayMS, f.result.LateSampleRatio = max(f.result.MaxDelayMS, reply.Measurement.MaxDelayMS),
+				max(f.result.LateSampleRatio, round(reply.Measurement.LateSampleRatio))
 		}
 	}
 	maxDelay, lateRatio := f.delays.results()
-	f.result.MaxDelayMS, f.result.LateSampleRatio = max(f.result.MaxDelayMS, maxDelay), max(f.result.LateSampleRatio, round(lateRatio))
+	f.result.MaxDelayMS, f.result.LateSampleRatio =
+		max(f.result.MaxDelayMS, maxDelay), max(f.result.LateSampleRatio, round(lateRatio))
 	close(f.done)
 	for role, measurements := range byRole {
 		f.result.Roles[role] = aggregate(measurements)
@@ -792,15 +823,17 @@
 	}
 	slices.Sort(gaps)
 	if len(gaps) > 0 {
-		f.result.Units.GapP99, f.result.Units.MaxGap = round(gaps[quantileIndex(len(gaps), 0.99)]), round(gaps[len(gaps)-1])
+		f.result.Units.GapP99, f.result.Units.MaxGap =
+			round(gaps[quantileIndex(len(gaps), 0.99)]), round(gaps[len(gaps)-1])
 	}
 }
 
-// at is the place of a part of n in order.
+// quantileIndex returns the index of a quantile among count sorted values.
 func quantileIndex(count int, fraction float64) int {
 	return max(int(math.Ceil(fraction*float64(count)))-1, 0)
 }
 
+// round rounds x to four significant digits.
 func round(x float64) float64 {
 	if x == 0 {
 		return 0
@@ -809,13 +842,14 @@
 	return math.Round(x*digits) / digits
 }
 
-// sum gives a role what its processes have counted.
+// aggregate combines the measurements of the processes of a role.
 func aggregate(measurements []*measurement) Role {
 	role := Role{Processes: len(measurements), Counters: map[string]int64{}}
-	var cpu, live, resident, files float64
+	var cpu, live, resident, descriptors float64
 	for _, m := range measurements {
 		role.Nodes += m.Nodes
-		cpu, live, resident, files = cpu+m.CPU/m.Seconds, live+m.LiveBytes, resident+m.ResidentBytes, files+float64(m.Descriptors)
+		cpu, live, resident, descriptors =
+			cpu+m.CPU/m.Seconds, live+m.LiveBytes, resident+m.ResidentBytes, descriptors+float64(m.Descriptors)
 		role.MaxCPU = max(role.MaxCPU, m.CPU/m.Seconds/float64(m.Nodes))
 		role.MaxResidentMB = max(role.MaxResidentMB, m.ResidentBytes/float64(m.Nodes)/1e6)
 		in, out, list := m.Flows["in"], m.Flows["out"], m.Flows["list"]
@@ -829,16 +863,18 @@
 		}
 	}
 	nodes := float64(role.Nodes)
-	role.CPU, role.LiveMB, role.ResidentMB, role.Descriptors = round(cpu/nodes), round(live/nodes/1e6), round(resident/nodes/1e6), round(files/nodes)
+	role.CPU, role.LiveMB, role.ResidentMB, role.Descriptors =
+		round(cpu/nodes), round(live/nodes/1e6), round(resident/nodes/1e6), round(descriptors/nodes)
 	role.MaxCPU, role.MaxResidentMB = round(role.MaxCPU), round(role.MaxResidentMB)
 	for _, mean := range []*flow{&role.In, &role.Out, &role.List} {
-		*mean = flow{round(mean.Messages / nodes), round(mean.Bytes / nodes), round(mean.MaxMessages), round(mean.MaxBytes)}
+		*mean = flow{round(mean.Messages / nodes), round(mean.Bytes / nodes),
+			round(mean.MaxMessages), round(mean.MaxBytes)}
 	}
 	role.Dropped = role.Counters["peer_dropped"] + role.Counters["overruns"]
 	return role
 }
 
-// finish judges.
+// evaluate calculates the results and compares them with the targets.
 func (f *fleet) evaluate() {
 	nodesByLeader, _ := f.leaderCounts()
 	f.mu.Lock()
@@ -848,7 +884,8 @@
 	medianSum := 0.0
 	for version, changedAt := range f.changedAt {
 		delays := slices.Sorted(maps.Values(f.applied[version]))
-		if len(delays) < f.size+f.options.ControlNodes && now.Sub(changedAt) < maxChangeDelay { // it may come yet
+		if len(delays) < f.size+f.options.ControlNodes && now.Sub(changedAt) < maxChangeDelay {
+			// Some nodes may still apply it in time.
 			continue
 		}
 		result.Changes.Count++
@@ -870,10 +907,10 @@
 	result.Units.MaxPerSecond = maxUnitsPerSecond(f.unitCounts)
 	result.Clients = f.clientStats.snapshot()
 	result.Targets = f.targets()
-	elsewhere := 0
+	sharedProcess := 0
 	for leader, nodes := range nodesByLeader {
 		if f.options.ControlNodes == 0 && leader >= 0 && !f.hasOwnProcess[leader] {
-			elsewhere += nodes
+			sharedProcess += nodes
 		}
 	}
 	result.Notes = append(result.Notes, "at the end "+describeLeaders(nodesByLeader))
@@ -881,13 +918,15 @@
 	case len(f.failures) > 0:
 		result.InvalidReason = f.failures[0]
 	case result.MaxDelayMS > maxDelayMS || result.LateSampleRatio > maxLateSampleRatio:
-		result.InvalidReason = fmt.Sprintf("the run was %.0f ms late at most, and over %v at %g of its looks", result.MaxDelayMS, lateThreshold, result.LateSampleRatio)
-	case elsewhere > f.size/100: // what that costs is counted at nodes that lead nothing
-		result.Notes = append(result.Notes, fmt.Sprintf("%d nodes ask one that shares its process", elsewhere))
+		result.InvalidReason = fmt.Sprintf("the run was %.0f ms late at most, and over %v at %g of its looks",
+			result.MaxDelayMS, lateThreshold, result.LateSampleRatio)
+	case sharedProcess > f.size/100: // the cost of that leader is counted as that of ordinary nodes
+		result.Notes = append(result.Notes, fmt.Sprintf("%d nodes ask one that shares its process", sharedProcess))
 	}
 }
 
-// mostInASecond gives the most units in any second: of whole steps alone, so that none is counted that is not in it.
+// maxUnitsPerSecond returns the maximum number of units in any second. A second consists of complete buckets, so that
+// no unit outside it is counted.
 func maxUnitsPerSecond(buckets map[int64]int) (maximum int) {
 	if len(buckets) == 0 {
 		return 0
@@ -904,17 +943,18 @@
 	return maximum
 }
 
-// What control may cost at the size that is coming, in the operators' words.
+// Limits for the control plane at the planned size, as given by the operators.
 const (
 	maxNodeCores       = 0.022
 	maxControlCores    = 1
 	maxNodeMB          = 128
 	maxNodeBytes       = 14_000
 	maxChangeDelay     = 14 * time.Second
-	maxGrantGapSeconds = 4 // s
+	maxGrantGapSeconds = 4
 	maxPeakRatio       = 3
 )
 
+// targets compares the figures with their limits.
 func (f *fleet) targets() (all []Target) {
 	result := f.result
 	add := func(name string, value, limit float64) {
@@ -934,11 +974,12 @@
 		}
 		add(role+": cores", r.MaxCPU, maxNodeCores)
 		memoryMB := r.LiveMB
-		if role != "node" { // it has the process for itself
+		if role != "node" { // the node is alone in its process
 			memoryMB = r.ResidentMB
 		}
 		add(role+": MB", memoryMB, maxNodeMB)
-		add(role+": bytes a second from and to other nodes and the list service", r.In.MaxBytes+r.Out.MaxBytes+r.List.MaxBytes, maxNodeBytes)
+		add(role+": bytes a second from and to other nodes and the list service",
+			r.In.MaxBytes+r.Out.MaxBytes+r.List.MaxBytes, maxNodeBytes)
 	}
 	if r, ok := result.Roles["real"]; ok {
 		add("real node: MB", r.MaxResidentMB, maxNodeMB)
@@ -948,14 +989,15 @@
 	switch f.options.Scenario {
 	case "zone", "region":
 		add("most words in a second after the return over the mean, at any receiver", result.Peak.Ratio, maxPeakRatio)
-	case "steady", "restarts", "leader": // who leads is not to be worse there than where it dies
+	case "steady", "restarts", "leader": // grants must not be delayed longer by a working leader than by its failure
 		add("busy nodes without a grant, 99 in 100: seconds", result.Units.GapP99, maxGrantGapSeconds)
 	}
-	add("units taken over the whole in any second", math.Max(0, float64(result.Units.MaxPerSecond-result.Units.Limit)), 0)
+	add("units taken over the whole in any second",
+		math.Max(0, float64(result.Units.MaxPerSecond-result.Units.Limit)), 0)
 	return all
 }
 
-// end ends all that runs.
+// shutDown stops all processes and servers and closes the sockets.
 func (f *fleet) shutDown() {
 	select {
 	case <-f.done:
--- a/lab/scale/slopes.go
+++ b/lab/scale/slopes.go
@@ -7,14 +7,14 @@
 	"brassmux/lab/scaling"
 )
 
-// Slope tells how a figure of a role grows with the nodes.
+// Slope is the growth model of a figure of a role over the fleet sizes.
 type Slope struct {
 	Role   string `json:"role"`
 	Figure string `json:"what"`
 	scaling.Model
 }
 
-// slopes fits what each role used and met over the sizes. Under four sizes there are none.
+// slopes fits a growth model to each figure. It returns none for fewer than four sizes.
 func (r *Result) slopes() (fits []Slope) {
 	if len(r.Fleets) < 4 {
 		return nil
