--- a/lab/capacity/capacity.go
+++ b/lab/capacity/capacity.go
@@ -19,12 +19,13 @@
 	"brassmux/lab/scaling"
 )
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
 	Seed        uint64
-	Repetitions int    // measurements at each size, 2 at least
-	SizeDivisor int    // sizes are divided by it, for a quick look: its figures say nothing of the great sizes; 0 means 1
-	Binary      string // the program, for what is measured at a process of its own; "" means the running one
+	Repetitions int // measurements at each size, at least 2
+	// SizeDivisor divides all sizes, for a quick test. Its results say nothing about large sizes. 0 means 1.
+	SizeDivisor int
+	Binary      string // path of the program for measurements of a separate process; "" for the running one
 }
 
 // Measurement holds the measured values of one figure at several sizes and the model fitted to them.
@@ -32,28 +33,28 @@
 	Name        string          `json:"name"`
 	Description string          `json:"what"`
 	Unit        string          `json:"unit"`
-	SizeOf      string          `json:"of"` // what the size counts
+	SizeOf      string          `json:"of"` // unit of the sizes
 	Points      []scaling.Point `json:"points"`
 	Fit         scaling.Model   `json:"fit"`
 }
 
-// Median is that of the measurements at a size; 0 where there is none.
-func (s *Measurement) Median(n float64) float64 {
-	var y []float64
-	for _, p := range s.Points {
-		if p.Size == n {
-			y = append(y, p.Value)
+// Median returns the median of the values at a size, or 0 if there are none.
+func (m *Measurement) Median(size float64) float64 {
+	var values []float64
+	for _, p := range m.Points {
+		if p.Size == size {
+			values = append(values, p.Value)
 		}
 	}
-	if len(y) == 0 {
+	if len(values) == 0 {
 		return 0
 	}
-	return scaling.Median(y)
+	return scaling.Median(values)
 }
 
-// Sizes are those that were measured, the least first.
-func (s *Measurement) Sizes() (sizes []float64) {
-	for _, p := range s.Points {
+// Sizes returns the measured sizes in ascending order.
+func (m *Measurement) Sizes() (sizes []float64) {
+	for _, p := range m.Points {
 		if !slices.Contains(sizes, p.Size) {
 			sizes = append(sizes, p.Size)
 		}
@@ -75,7 +76,7 @@
 
 // Measurement returns the measurement with the given name, or nil if it was not made.
 func (r *Results) Measurement(name string) *Measurement {
-	if i := slices.IndexFunc(r.Measurements, func(s *Measurement) bool { return s.Name == name }); i >= 0 {
+	if i := slices.IndexFunc(r.Measurements, func(m *Measurement) bool { return m.Name == name }); i >= 0 {
 		return r.Measurements[i]
 	}
 	return nil
@@ -83,30 +84,30 @@
 
 // NodeCounts, ServerCounts, KeyCounts and ConnectionCounts are the sizes at which figures are measured.
 var (
-	NodeCounts       = []int{300, 1000, 3000, 5700}
-	ServerCounts     = []int{90, 500, 1000, 2000, 5000}
-	fleets           = []int{300, 600, 1000, 2000} // in virtual time: above it a run takes minutes
-	KeyCounts        = []int{1000, 4000, 16000, 45600}
-	ConnectionCounts = []int{500, 1000, 2000, 4000}
+	NodeCounts          = []int{300, 1000, 3000, 5700}
+	ServerCounts        = []int{90, 500, 1000, 2000, 5000}
+	simulatedFleetSizes = []int{300, 600, 1000, 2000} // in virtual time; larger fleets take minutes
+	KeyCounts           = []int{1000, 4000, 16000, 45600}
+	ConnectionCounts    = []int{500, 1000, 2000, 4000}
 )
 
-// group is some measurements that are made together.
+// group is a set of measurements that are made together.
 type group struct {
 	name string
 	run  func(ctx context.Context, b *bench) error
 }
 
 var groups = []group{
-	{"keeper", keeper},
-	{"follower", follower},
-	{"words", words},
-	{"list", list},
-	{"place", place},
-	{"memory", memory},
-	{"pause", pause},
-	{"start", start},
-	{"node", standing},
-	{"ports", ports},
+	{"keeper", measureLeader},
+	{"follower", measureFollower},
+	{"words", measureMessages},
+	{"list", measureList},
+	{"place", measurePlacement},
+	{"memory", measureMemory},
+	{"pause", measureRetryDelay},
+	{"start", measureStartup},
+	{"node", measureConnections},
+	{"ports", measurePorts},
 }
 
 // GroupNames returns the names of the groups of measurements.
@@ -121,22 +122,23 @@
 func CheckGroupNames(names []string) error {
 	for _, name := range names {
 		if !slices.Contains(GroupNames(), name) {
-			return fmt.Errorf("%q is none of %s", name, strings.Join(GroupNames(), ", "))
+			return fmt.Errorf("%q is not one of %s", name, strings.Join(GroupNames(), ", "))
 		}
 	}
 	return nil
 }
 
-// Measure makes the named groups of measurements, or all where none is named. What it measures in processor time is that of this whole
-// process or of a node's, so nothing else should go on here meanwhile.
-func Measure(ctx context.Context, o Options, names ...string) (*Results, error) {
+// Measure makes the named groups of measurements, or all if there are no names. CPU times are those of this process or
+// of a node process, so nothing else should run in this process at the same time.
+func Measure(ctx context.Context, options Options, names ...string) (*Results, error) {
 	if err := CheckGroupNames(names); err != nil {
 		return nil, err
 	}
-	if o.SizeDivisor = max(o.SizeDivisor, 1); o.Repetitions < 2 {
-		return nil, errors.New("each measurement is to be repeated: 2 at least")
+	if options.SizeDivisor = max(options.SizeDivisor, 1); options.Repetitions < 2 {
+		return nil, errors.New("repetitions: at least 2 are required")
 	}
-	b := &bench{o: o, run: &Results{Seed: o.Seed, Repetitions: o.Repetitions, SizeDivisor: o.SizeDivisor, Cores: runtime.NumCPU(), Go: runtime.Version()}}
+	b := &bench{options: options, results: &Results{Seed: options.Seed, Repetitions: options.Repetitions,
+		SizeDivisor: options.SizeDivisor, Cores: runtime.NumCPU(), Go: runtime.Version()}}
 	for _, g := range groups {
 		if len(names) > 0 && !slices.Contains(names, g.name) {
 			continue
@@ -145,39 +147,42 @@
 			return nil, fmt.Errorf("%s: %w", g.name, err)
 		}
 	}
-	for _, s := range b.run.Measurements {
+	for _, m := range b.results.Measurements {
 		var err error
-		if s.Fit, err = scaling.FitModel(s.Points); err != nil {
-			return nil, fmt.Errorf("%s: %w", s.Name, err)
+		if m.Fit, err = scaling.FitModel(m.Points); err != nil {
+			return nil, fmt.Errorf("%s: %w", m.Name, err)
 		}
 	}
-	return b.run, nil
+	return b.results, nil
 }
 
+// bench collects the measurements of a run.
 type bench struct {
-	o   Options
-	run *Results
+	options Options
+	results *Results
 }
 
-func (b *bench) slope(name, what, unit, of string) *Measurement {
-	s := &Measurement{Name: name, Description: what, Unit: unit, SizeOf: of}
-	b.run.Measurements = append(b.run.Measurements, s)
-	return s
+// measurement adds an empty measurement to the results.
+func (b *bench) measurement(name, description, unit, sizeOf string) *Measurement {
+	m := &Measurement{Name: name, Description: description, Unit: unit, SizeOf: sizeOf}
+	b.results.Measurements = append(b.results.Measurements, m)
+	return m
 }
 
-func (s *Measurement) add(n int, y float64) {
-	s.Points = append(s.Points, scaling.Point{Size: float64(n), Value: y})
+// add adds a value at a size.
+func (m *Measurement) add(size int, value float64) {
+	m.Points = append(m.Points, scaling.Point{Size: float64(size), Value: value})
 }
 
-// each goes through sizes as often as measurements are to be repeated, all sizes in turn: what changes at the machine meanwhile
-// then meets all of them.
-func (b *bench) each(ctx context.Context, sizes []int, do func(n, turn int) error) error {
-	for turn := range b.o.Repetitions {
-		for _, n := range sizes {
+// forEachSize calls measure for all sizes in turn, and repeats this for each repetition. A change of the machine's
+// speed during the run then affects all sizes alike.
+func (b *bench) forEachSize(ctx context.Context, sizes []int, measure func(size, repetition int) error) error {
+	for repetition := range b.options.Repetitions {
+		for _, size := range sizes {
 			if err := ctx.Err(); err != nil {
 				return err
 			}
-			if err := do(max(n/b.o.SizeDivisor, 20), turn); err != nil {
+			if err := measure(max(size/b.options.SizeDivisor, 20), repetition); err != nil {
 				return err
 			}
 		}
@@ -185,39 +190,41 @@
 	return nil
 }
 
-// cpu is the processor time that this process has used, of all its threads, its kernel's part too.
-func cpu() time.Duration { return clock(2) } // CLOCK_PROCESS_CPUTIME_ID
+// cpuTime returns the CPU time used by all threads of this process in user and kernel mode.
+func cpuTime() time.Duration { return readClock(2) } // CLOCK_PROCESS_CPUTIME_ID
 
-// cpuOf is that of another process.
-func cpuOf(pid int) time.Duration { return clock(^pid<<3 | 2) } // as clock_getcpuclockid makes it
+// cpuTimeOf returns the CPU time used by another process.
+func cpuTimeOf(pid int) time.Duration { return readClock(^pid<<3 | 2) } // the clock ID that clock_getcpuclockid returns
 
-func clock(id int) time.Duration {
-	var t syscall.Timespec
-	if _, _, err := syscall.Syscall(syscall.SYS_CLOCK_GETTIME, uintptr(id), uintptr(unsafe.Pointer(&t)), 0); err != 0 {
+// readClock returns the time of a clock of the kernel, or 0 if there is no such clock.
+func readClock(clockID int) time.Duration {
+	var ts syscall.Timespec
+	if _, _, err := syscall.Syscall(
+		syscall.SYS_CLOCK_GETTIME, uintptr(clockID), uintptr(unsafe.Pointer(&ts)), 0); err != 0 {
 		return 0
 	}
-	return time.Duration(t.Nano())
+	return time.Duration(ts.Nano())
 }
 
-// timed is the processor time of something, for each of count.
-func timed(count int, do func()) (microseconds float64) {
+// cpuMicros returns the CPU time of work in microseconds, divided by count.
+func cpuMicros(count int, work func()) (microseconds float64) {
 	runtime.GC()
-	begun := cpu()
-	do()
-	return float64(cpu()-begun) / float64(time.Microsecond) / float64(count)
+	start := cpuTime()
+	work()
+	return float64(cpuTime()-start) / float64(time.Microsecond) / float64(count)
 }
 
-// live is the memory that is in use once what can be freed is.
-func live() float64 {
-	var m runtime.MemStats
+// liveMemory returns the heap memory in use after garbage collection, in bytes.
+func liveMemory() float64 {
+	var stats runtime.MemStats
 	runtime.GC()
 	runtime.GC()
-	runtime.ReadMemStats(&m)
-	return float64(m.HeapAlloc)
+	runtime.ReadMemStats(&stats)
+	return float64(stats.HeapAlloc)
 }
 
-// pages is what a process has in memory, in bytes.
-func pages(pid int) float64 {
+// residentMemory returns the resident memory of a process in bytes.
+func residentMemory(pid int) float64 {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	var size, resident float64
 	if err != nil {
@@ -227,7 +234,8 @@
 	return resident * float64(os.Getpagesize())
 }
 
-func descriptors(pid int) int {
-	all, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
-	return len(all)
+// openDescriptors returns the number of open file descriptors of a process.
+func openDescriptors(pid int) int {
+	entries, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
+	return len(entries)
 }
--- a/lab/capacity/control.go
+++ b/lab/capacity/control.go
@@ -14,264 +14,287 @@
 )
 
 const (
-	budgetCount = 10 // budgets that every ask lends of
-	beat        = 400 * time.Millisecond
-	envelope    = 6 // bytes of a datagram around the body of a word: version, kind, number
+	budgetCount   = 10 // number of budgets; each request lends units of all of them
+	heartbeat     = 400 * time.Millisecond
+	envelopeBytes = 6 // bytes around the body of a message in a datagram: version, kind, number
 )
 
-// budgetSettings are the program's defaults, with a window of 2 s.
+// budgetSettings returns the default settings of the program, with a window of 2 s.
 func budgetSettings(nodes, index int) budget.Settings {
-	return budget.Settings{Nodes: nodes, Index: index, GuaranteedFraction: 0.5, MaxWindow: 2 * time.Second, LeaseTerm: time.Second, HeartbeatInterval: beat}
+	return budget.Settings{Nodes: nodes, Index: index, GuaranteedFraction: 0.5, MaxWindow: 2 * time.Second,
+		LeaseTerm: time.Second, HeartbeatInterval: heartbeat}
 }
 
 func budgetID(i int) budget.ID { return budget.ID{Kind: 1, Subject: uint64(i + 1)} }
 
-// define has ten budgets, each of a fifth as many units as there are nodes in any window.
-func define(b *budget.Member, nodes int, now time.Duration) {
+// defineBudgets defines ten budgets at a member. The limit of each is one unit per five nodes in any window.
+func defineBudgets(member *budget.Member, nodes int, now time.Duration) {
 	for i := range budgetCount {
-		b.Define(now, budget.Spec{ID: budgetID(i), BaseLimit: max(nodes/5, 1), Window: 2 * time.Second})
+		member.Define(now, budget.Spec{ID: budgetID(i), BaseLimit: max(nodes/5, 1), Window: 2 * time.Second})
 	}
 }
 
-// crowd is all nodes but the keeper, as far as it can tell.
-type crowd struct {
-	nodes int
-	keep  *budget.Member
-	now   time.Duration
-	seq   uint64
-	heard []budget.LeaseResponse // the last to each
+// followerGroup emulates all nodes of a fleet except the leader of the budgets, by the messages that they send to it.
+type followerGroup struct {
+	nodes         int
+	leader        *budget.Member
+	now           time.Duration
+	seq           uint64
+	lastResponses []budget.LeaseResponse // by node
 }
 
-// boot is the start of the node that keeps.
-const boot = 7
+// leaderIncarnation identifies the start of the leader.
+const leaderIncarnation = 7
 
-func newCrowd(nodes int) *crowd {
-	c := &crowd{nodes: nodes, keep: budget.New(budgetSettings(nodes, 0), boot, 0),
-		heard: make([]budget.LeaseResponse, nodes)}
-	define(c.keep, nodes, 0)
-	return c
+func newFollowerGroup(nodes int) *followerGroup {
+	g := &followerGroup{nodes: nodes, leader: budget.New(budgetSettings(nodes, 0), leaderIncarnation, 0),
+		lastResponses: make([]budget.LeaseResponse, nodes)}
+	defineBudgets(g.leader, nodes, 0)
+	return g
 }
 
-// beat has the first nodes ask once, count of them, in a beat; it tells what the keeper spends on one ask of the
-// first few of these, and what ask and answer hold in bytes.
-func (c *crowd) beat(count, timing int, wants bool) (micros, ask, answer float64, err error) {
-	c.seq++
-	defer func(end time.Duration) { c.now = end }(c.now + beat)
-	bodies, answers := make([][]byte, c.nodes), make([][]byte, c.nodes)
+// runHeartbeat sends one request of each of the first count nodes to the leader within one heartbeat interval. It
+// returns the CPU time in microseconds of the leader per request, measured over the first timed requests, and the mean
+// sizes in bytes of requests and responses.
+func (g *followerGroup) runHeartbeat(count, timed int, wants bool) (
+	micros, requestBytes, responseBytes float64, err error) {
+	g.seq++
+	defer func(end time.Duration) { g.now = end }(g.now + heartbeat)
+	requests, responses := make([][]byte, g.nodes), make([][]byte, g.nodes)
 	for i := 1; i <= count; i++ {
-		last := c.heard[i]
-		w := budget.LeaseRequest{Incarnation: uint64(1000 + i), Seq: c.seq, LeaderClock: last.LeaderClock,
+		last := g.lastResponses[i]
+		request := budget.LeaseRequest{Incarnation: uint64(1000 + i), Seq: g.seq, LeaderClock: last.LeaderClock,
 			Leader: last.Incarnation, Acknowledged: last.Seq}
-		for k := range budgetCount {
-			w.Delegated = append(w.Delegated, budget.Amount{ID: budgetID(k), Units: (i + k) % 10 / 9}) // a tenth of the nodes own a unit each
+		for k := range budgetCount { // a tenth of the nodes own a unit of each budget
+			request.Delegated = append(request.Delegated, budget.Amount{ID: budgetID(k), Units: (i + k) % 10 / 9})
 		}
 		if wants {
-			w.Wanted = []budget.Amount{{ID: budgetID(i % budgetCount), Units: 1}}
+			request.Wanted = []budget.Amount{{ID: budgetID(i % budgetCount), Units: 1}}
 		}
-		for _, g := range last.Grants {
-			w.Releases = append(w.Releases, budget.Release{Grant: g.Number, Used: g.Units, SinceUse: int64(beat / 2)})
+		for _, grant := range last.Grants {
+			request.Releases = append(request.Releases,
+				budget.Release{Grant: grant.Number, Used: grant.Units, SinceUse: int64(heartbeat / 2)})
 		}
-		if bodies[i], err = cbor.Marshal(w); err != nil {
+		if requests[i], err = cbor.Marshal(request); err != nil {
 			return
 		}
-		ask += float64(len(bodies[i])+envelope) / float64(count)
+		requestBytes += float64(len(requests[i])+envelopeBytes) / float64(count)
 	}
-	work := func(from, to int) func() {
+	handle := func(from, to int) func() {
 		return func() {
 			for i := from; i <= to && err == nil; i++ {
-				m, failed := budget.DecodeMessage(bodies[i])
-				if err = failed; err != nil {
+				message, decodeErr := budget.DecodeMessage(requests[i])
+				if err = decodeErr; err != nil {
 					return
 				}
-				c.now += beat / time.Duration(c.nodes-1)
-				for _, a := range c.keep.HandleMessage(c.now, i, m) {
-					if t, ok := a.(budget.SendResponse); ok && t.To == i {
-						answers[i], err = cbor.Marshal(t.Response)
+				g.now += heartbeat / time.Duration(g.nodes-1)
+				for _, action := range g.leader.HandleMessage(g.now, i, message) {
+					if response, ok := action.(budget.SendResponse); ok && response.To == i {
+						responses[i], err = cbor.Marshal(response.Response)
 					}
 				}
 			}
 		}
 	}
-	micros = timed(timing, work(1, timing))
-	work(timing+1, count)()
+	micros = cpuMicros(timed, handle(1, timed))
+	handle(timed+1, count)()
 	for i := 1; i <= count && err == nil; i++ {
-		if answers[i] == nil {
-			return 0, 0, 0, fmt.Errorf("node %d got no answer", i)
+		if responses[i] == nil {
+			return 0, 0, 0, fmt.Errorf("node %d received no response", i)
 		}
-		answer += float64(len(answers[i])+envelope) / float64(count)
-		m, failed := budget.DecodeMessage(answers[i])
-		c.heard[i], _ = m.(budget.LeaseResponse)
-		err = failed
+		responseBytes += float64(len(responses[i])+envelopeBytes) / float64(count)
+		message, decodeErr := budget.DecodeMessage(responses[i])
+		g.lastResponses[i], _ = message.(budget.LeaseResponse)
+		err = decodeErr
 	}
 	return
 }
 
-// keeper measures an ask at the keeper of the budgets: each node asks once a beat, lends of ten budgets and wants one
-// unit of one.
-func keeper(ctx context.Context, b *bench) error {
-	asks := b.slope("keeper.ask", "processor time of an ask at the keeper, read, worked on and answered: 10 lends, 1 want", "us", "nodes")
-	beats := b.slope("keeper.beat", "the same of an ask that wants nothing", "us", "nodes")
-	in := b.slope("keeper.ask_bytes", "bytes of that ask, in the mean (10 lends, 1 want)", "bytes", "nodes")
-	out := b.slope("keeper.answer_bytes", "bytes of its answer, in the mean", "bytes", "nodes")
-	mem := b.slope("keeper.memory", "live memory of the keeper's part", "bytes", "nodes")
-	return b.each(ctx, NodeCounts, func(n, _ int) error {
-		before := live()
-		c := newCrowd(n)
-		// Until a start of the keeper before this one is past all nodes only follow, often enough for their promises
-		// to count; then all want once, which half of all units answer, and some want again, whose asks are timed.
-		for c.now < budgetSettings(n, 0).RecoveryDelay()+6*beat {
-			if _, _, _, err := c.beat(n-1, 1, false); err != nil {
+// measureLeader measures the cost of requests at the leader of the budgets. Each node sends one request per heartbeat
+// interval, which lends units of ten budgets and wants one unit of one of them.
+func measureLeader(ctx context.Context, b *bench) error {
+	requestTime := b.measurement("keeper.ask",
+		"processor time of an ask at the keeper, read, worked on and answered: 10 lends, 1 want", "us", "nodes")
+	idleTime := b.measurement("keeper.beat", "the same of an ask that wants nothing", "us", "nodes")
+	requestSize := b.measurement("keeper.ask_bytes",
+		"bytes of that ask, in the mean (10 lends, 1 want)", "bytes", "nodes")
+	responseSize := b.measurement("keeper.answer_bytes", "bytes of its answer, in the mean", "bytes", "nodes")
+	memory := b.measurement("keeper.memory", "live memory of the keeper's part", "bytes", "nodes")
+	return b.forEachSize(ctx, NodeCounts, func(size, _ int) error {
+		before := liveMemory()
+		g := newFollowerGroup(size)
+		// All nodes only follow until the leader's recovery delay is over, and often enough to count as followers. Then
+		// all want one unit, together half of all units, and some want another one: these requests are measured.
+		for g.now < budgetSettings(size, 0).RecoveryDelay()+6*heartbeat {
+			if _, _, _, err := g.runHeartbeat(size-1, 1, false); err != nil {
 				return err
 			}
-			c.now += 2 * beat
+			g.now += 2 * heartbeat
 		}
-		sample := min(max(n/5, 2), 600)
-		if _, _, _, err := c.beat(n-1, 1, false); err != nil {
+		timed := min(max(size/5, 2), 600)
+		if _, _, _, err := g.runHeartbeat(size-1, 1, false); err != nil {
 			return err
 		}
-		idle, _, _, err := c.beat(n-1, sample, false)
+		idle, _, _, err := g.runHeartbeat(size-1, timed, false)
 		if err != nil {
 			return err
 		}
-		if _, _, _, err := c.beat(n-1, 1, true); err != nil {
+		if _, _, _, err := g.runHeartbeat(size-1, 1, true); err != nil {
 			return err
 		}
-		micros, ask, answer, err := c.beat(sample, sample, true)
+		micros, requestBytes, responseBytes, err := g.runHeartbeat(timed, timed, true)
 		if err != nil {
 			return err
 		}
-		if s := c.keep.State(c.now); s.Followers < n/2 || c.keep.Counters.Granted*10 < int64(n-1+sample)*9 {
-			return fmt.Errorf("with %d nodes %d follow, and %d units were granted of %d wanted", n, s.Followers, c.keep.Counters.Granted, n-1+sample)
+		if state := g.leader.State(g.now); state.Followers < size/2 ||
+			g.leader.Counters.Granted*10 < int64(size-1+timed)*9 {
+			return fmt.Errorf("with %d nodes: %d followers, and %d units granted of %d wanted",
+				size, state.Followers, g.leader.Counters.Granted, size-1+timed)
 		}
-		c.heard = nil
-		mem.add(n, live()-before)
-		runtime.KeepAlive(c.keep)
-		beats.add(n, idle)
-		asks.add(n, micros)
-		in.add(n, ask)
-		out.add(n, answer)
+		g.lastResponses = nil
+		memory.add(size, liveMemory()-before)
+		runtime.KeepAlive(g.leader)
+		idleTime.add(size, idle)
+		requestTime.add(size, micros)
+		requestSize.add(size, requestBytes)
+		responseSize.add(size, responseBytes)
 		return nil
 	})
 }
 
-// follower measures the other side: a node's own beat, and what its part holds at its start.
-func follower(ctx context.Context, b *bench) error {
-	beats := b.slope("follower.beat", "processor time of a beat at a node that follows: ask made and written, answer read and taken in", "us", "nodes")
-	mem := b.slope("follower.memory", "live memory of a node's part of the budgets", "bytes", "nodes")
-	begin := b.slope("follower.start", "processor time of its start", "us", "nodes")
+// measureFollower measures the costs of the budgets at a node that follows the leader: its heartbeats, its start and
+// its memory.
+func measureFollower(ctx context.Context, b *bench) error {
+	heartbeatTime := b.measurement("follower.beat",
+		"processor time of a beat at a node that follows: ask made and written, answer read and taken in",
+		"us", "nodes")
+	memory := b.measurement("follower.memory", "live memory of a node's part of the budgets", "bytes", "nodes")
+	startTime := b.measurement("follower.start", "processor time of its start", "us", "nodes")
 	const count = 400
-	return b.each(ctx, NodeCounts, func(n, _ int) error {
-		before := live()
-		var f *budget.Member
-		begin.add(n, timed(1, func() { f = budget.New(budgetSettings(n, n-1), 99, 0) }))
-		define(f, n, 0)
-		mem.add(n, live()-before)
-		now, err, followed, keeps := time.Duration(0), error(nil), 0, -1
-		one := func() {
-			now += beat
-			for _, a := range append([]budget.Action(nil), f.Tick(now)...) {
-				t, ok := a.(budget.SendRequest)
+	return b.forEachSize(ctx, NodeCounts, func(size, _ int) error {
+		before := liveMemory()
+		var member *budget.Member
+		startTime.add(size, cpuMicros(1, func() { member = budget.New(budgetSettings(size, size-1), 99, 0) }))
+		defineBudgets(member, size, 0)
+		memory.add(size, liveMemory()-before)
+		now, err, followedResponses, leader := time.Duration(0), error(nil), 0, -1
+		tick := func() {
+			now += heartbeat
+			for _, action := range append([]budget.Action(nil), member.Tick(now)...) {
+				send, ok := action.(budget.SendRequest)
 				if !ok {
 					continue
 				}
-				body, bad := cbor.Marshal(t.Request)
-				if bad != nil {
-					err = bad
+				body, encodeErr := cbor.Marshal(send.Request)
+				if encodeErr != nil {
+					err = encodeErr
 					return
 				}
-				if keeps < 0 {
-					keeps = t.To
+				if leader < 0 {
+					leader = send.To
 				}
-				if t.To != keeps { // the others are not there
+				if send.To != leader { // no other node responds
 					continue
 				}
-				answer, bad := cbor.Marshal(budget.LeaseResponse{Incarnation: boot, Seq: t.Request.Seq, LeaderClock: now,
-					Follower: t.Request.Incarnation, HasQuorum: true})
-				_, unreadable := budget.DecodeMessage(body)
-				m, alsoUnreadable := budget.DecodeMessage(answer)
-				if bad != nil || unreadable != nil || alsoUnreadable != nil {
-					err = fmt.Errorf("a word cannot be read: %v", bad)
+				response, encodeErr := cbor.Marshal(budget.LeaseResponse{Incarnation: leaderIncarnation,
+					Seq: send.Request.Seq, LeaderClock: now, Follower: send.Request.Incarnation, HasQuorum: true})
+				_, requestErr := budget.DecodeMessage(body)
+				message, responseErr := budget.DecodeMessage(response)
+				if encodeErr != nil || requestErr != nil || responseErr != nil {
+					err = fmt.Errorf("encoding or decoding a message: %v", encodeErr)
 					return
 				}
-				f.HandleMessage(now, t.To, m)
-				if t.Request.Leader != 0 {
-					followed++
+				member.HandleMessage(now, send.To, message)
+				if send.Request.Leader != 0 {
+					followedResponses++
 				}
 			}
 		}
-		for range 1000 { // until it has met the one that is there, and rested
-			if one(); followed > 3 || err != nil {
+		for range 1000 { // until the node has found its leader and the exchange is steady
+			if tick(); followedResponses > 3 || err != nil {
 				break
 			}
 		}
-		if err != nil || followed <= 3 {
-			return fmt.Errorf("with %d nodes it follows nobody: %v", n, err)
+		if err != nil || followedResponses <= 3 {
+			return fmt.Errorf("with %d nodes: the node follows no leader: %v", size, err)
 		}
-		beats.add(n, timed(count, func() {
+		heartbeatTime.add(size, cpuMicros(count, func() {
 			for range count {
-				one()
+				tick()
 			}
 		}))
 		return err
 	})
 }
 
-// words counts what nodes tell one another, in virtual time.
-func words(ctx context.Context, b *bench) error {
-	busiest := b.slope("words.busiest", "words a second sent by the node that sends most (lab fleet, many-replaced with leases, scaled)", "1/s", "nodes")
-	mean := b.slope("words.mean", "words a second sent by a node in the mean", "1/s", "nodes")
-	return b.each(ctx, fleets, func(n, turn int) error {
-		s, err := fleet.Load("many-replaced")
+// measureMessages counts the messages between the nodes of a simulated fleet, in virtual time.
+func measureMessages(ctx context.Context, b *bench) error {
+	busiest := b.measurement("words.busiest",
+		"words a second sent by the node that sends most (lab fleet, many-replaced with leases, scaled)",
+		"1/s", "nodes")
+	mean := b.measurement("words.mean", "words a second sent by a node in the mean", "1/s", "nodes")
+	return b.forEachSize(ctx, simulatedFleetSizes, func(size, repetition int) error {
+		scenario, err := fleet.Load("many-replaced")
 		if err != nil {
 			return err
 		}
-		s.Length, s.Nodes, s.Servers = fleet.Duration(6*time.Second), n, max(n/4, 2)
-		s.Clients.Initial, s.Clients.PerSecond, s.Clients.Groups = 3*n, float64(n)/16, max(n*3/8, 1)
-		s.Discovery.PerSecond, s.Discovery.QueueLimit = float64(n)/5, n
-		s.Quotas = fleet.Quotas{Leased: true, GuaranteedFraction: 0.5, LeaseTerm: fleet.Duration(time.Second), HeartbeatInterval: fleet.Duration(beat)}
-		s.Faults[0].At, s.Faults[0].Stagger = fleet.Duration(2*time.Second), fleet.Duration(3*time.Second)
-		if err := s.Check(); err != nil {
+		scenario.Length, scenario.Nodes, scenario.Servers = fleet.Duration(6*time.Second), size, max(size/4, 2)
+		scenario.Clients.Initial, scenario.Clients.PerSecond, scenario.Clients.Groups =
+			3*size, float64(size)/16, max(size*3/8, 1)
+		scenario.Discovery.PerSecond, scenario.Discovery.QueueLimit = float64(size)/5, size
+		scenario.Quotas = fleet.Quotas{Leased: true, GuaranteedFraction: 0.5,
+			LeaseTerm: fleet.Duration(time.Second), HeartbeatInterval: fleet.Duration(heartbeat)}
+		scenario.Faults[0].At, scenario.Faults[0].Stagger =
+			fleet.Duration(2*time.Second), fleet.Duration(3*time.Second)
+		if err := scenario.Check(); err != nil {
 			return err
 		}
-		r := fleet.Run(s, b.o.Seed+uint64(turn), fleet.NewBalancer)
-		seconds := time.Duration(s.Length).Seconds()
-		busiest.add(n, float64(r.Totals["words of the busiest node"])/seconds)
-		mean.add(n, float64(r.Totals["words between nodes"])/seconds/float64(n))
+		result := fleet.Run(scenario, b.options.Seed+uint64(repetition), fleet.NewBalancer)
+		seconds := time.Duration(scenario.Length).Seconds()
+		busiest.add(size, float64(result.Totals["words of the busiest node"])/seconds)
+		mean.add(size, float64(result.Totals["words between nodes"])/seconds/float64(size))
 		return nil
 	})
 }
 
-// pause asks how long a node waits after failed calls for the list, by the size of the fleet.
-func pause(ctx context.Context, b *bench) error {
-	first := b.slope("pause.first", "the pause after a first call for the list that failed at once, the longest of 200 draws", "s", "nodes")
-	third := b.slope("pause.third", "after a third in a row", "s", "nodes")
-	waited := b.slope("pause.waited", "after a third in a row of calls that waited 2 s before they failed, as at a service with too many callers", "s", "nodes")
-	cached := b.slope("pause.start", "the longest wait of a node that starts with an old list until it first asks", "s", "nodes")
-	return b.each(ctx, NodeCounts, func(n, turn int) error {
+// measureRetryDelay measures the delay of a node before it calls the list service again after failed calls.
+func measureRetryDelay(ctx context.Context, b *bench) error {
+	first := b.measurement("pause.first",
+		"the pause after a first call for the list that failed at once, the longest of 200 draws", "s", "nodes")
+	third := b.measurement("pause.third", "after a third in a row", "s", "nodes")
+	slowThird := b.measurement("pause.waited",
+		"after a third in a row of calls that waited 2 s before they failed, as at a service with too many callers",
+		"s", "nodes")
+	cached := b.measurement("pause.start",
+		"the longest wait of a node that starts with an old list until it first asks", "s", "nodes")
+	return b.forEachSize(ctx, NodeCounts, func(size, repetition int) error {
 		var longest [4]time.Duration
 		for i := range 200 {
-			d := balance.New(balance.Config{NodeCount: n, NodeIndex: i % n}, b.o.Seed+uint64(turn*200+i))
-			wait := func(kind balance.UpdateKind, took time.Duration) (after time.Duration) {
-				for _, a := range d.Handle(time.Minute, balance.EndpointUpdate{Kind: kind, ServiceWait: took}) {
-					if t, ok := a.(balance.SetTimer); ok {
-						after = max(after, t.After)
+			balancer := balance.New(balance.Config{NodeCount: size, NodeIndex: i % size},
+				b.options.Seed+uint64(repetition*200+i))
+			retryDelay := func(kind balance.UpdateKind, serviceWait time.Duration) (delay time.Duration) {
+				for _, action := range balancer.Handle(time.Minute,
+					balance.EndpointUpdate{Kind: kind, ServiceWait: serviceWait}) {
+					if timer, ok := action.(balance.SetTimer); ok {
+						delay = max(delay, timer.After)
 					}
 				}
-				return after
+				return delay
 			}
-			longest[0] = max(longest[0], wait(balance.ListCached, 0))
-			longest[1] = max(longest[1], wait(balance.WatchFailed, 0))
-			wait(balance.WatchFailed, 0)
-			longest[2] = max(longest[2], wait(balance.WatchFailed, 0))
-			d = balance.New(balance.Config{NodeCount: n, NodeIndex: i % n}, b.o.Seed+uint64(turn*200+i))
+			longest[0] = max(longest[0], retryDelay(balance.ListCached, 0))
+			longest[1] = max(longest[1], retryDelay(balance.WatchFailed, 0))
+			retryDelay(balance.WatchFailed, 0)
+			longest[2] = max(longest[2], retryDelay(balance.WatchFailed, 0))
+			balancer = balance.New(balance.Config{NodeCount: size, NodeIndex: i % size},
+				b.options.Seed+uint64(repetition*200+i))
 			for range 3 {
-				longest[3] = max(longest[3], wait(balance.WatchFailed, 2*time.Second))
+				longest[3] = max(longest[3], retryDelay(balance.WatchFailed, 2*time.Second))
 			}
 		}
-		cached.add(n, longest[0].Seconds())
-		first.add(n, longest[1].Seconds())
-		third.add(n, longest[2].Seconds())
-		waited.add(n, longest[3].Seconds())
+		cached.add(size, longest[0].Seconds())
+		first.add(size, longest[1].Seconds())
+		third.add(size, longest[2].Seconds())
+		slowThird.add(size, longest[3].Seconds())
 		return nil
 	})
 }
--- a/lab/capacity/page_test.go
+++ b/lab/capacity/page_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-// Guards against a page whose tables are not those that the kept measurements give, as after a change of either alone.
-func TestThePageHasTheTablesOfTheKeptMeasurements(t *testing.T) {
+// Guards against a capacity page that does not match the stored measurements, after a change of only one of them.
+func TestCapacityPageMatchesMeasurements(t *testing.T) {
 	docs := filepath.Join("..", "..", "docs")
 	files, err := filepath.Glob(filepath.Join(docs, "capacity", "*.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := Load(files...)
+	results, err := Load(files...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	tables, err := Tables(r, after)
+	tables, err := Tables(results, after)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,18 +38,19 @@
 		t.Fatal(err)
 	}
 	if filled != string(data) {
-		was, is := strings.Split(string(data), "\n"), strings.Split(filled, "\n")
-		for i := range min(len(was), len(is)) {
-			if was[i] != is[i] {
-				t.Fatalf("line %d of the page is\n%s\nand by the measurements\n%s\nbrassmux lab capacity --page puts them in", i+1, was[i], is[i])
+		oldLines, newLines := strings.Split(string(data), "\n"), strings.Split(filled, "\n")
+		for i := range min(len(oldLines), len(newLines)) {
+			if oldLines[i] != newLines[i] {
+				t.Fatalf("line %d of the page is\n%s\nwant\n%s\nbrassmux lab capacity --page updates the page",
+					i+1, oldLines[i], newLines[i])
 			}
 		}
-		t.Fatalf("the page has %d lines, and %d by the measurements", len(was), len(is))
+		t.Fatalf("the page has %d lines, want %d", len(oldLines), len(newLines))
 	}
-	// Each size that the page rests on was measured as often as it says, and at four sizes at least.
-	for _, s := range r.Measurements {
-		if len(s.Sizes()) < 4 {
-			t.Errorf("%s was measured at %v", s.Name, s.Sizes())
+	// Each measurement must have at least four sizes.
+	for _, m := range results.Measurements {
+		if len(m.Sizes()) < 4 {
+			t.Errorf("%s was measured at %v", m.Name, m.Sizes())
 		}
 	}
 }
--- a/lab/capacity/process.go
+++ b/lab/capacity/process.go
@@ -22,41 +22,47 @@
 	"brassmux/node"
 )
 
-// patience is how long anything may take before a measurement is given up.
-const patience = 60 * time.Second
+// stepTimeout limits each step of a measurement.
+const stepTimeout = 60 * time.Second
 
-// config is a node's, with so many peers; the lists' service and the servers are named by address.
-func config(nodes, index int, discovery string, servers []emulator.Endpoint) map[string]any {
-	c := map[string]any{"name": "n", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "1",
+// nodeConfig returns the configuration of a node in a fleet of the given size, or of a single node without peers if
+// nodes is 0. discovery is the address of the list service, and servers is the initial endpoint list.
+func nodeConfig(nodes, index int, discovery string, servers []emulator.Endpoint) map[string]any {
+	config := map[string]any{"name": "n", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "1",
 		"limits": map[string]any{"sockets": 19000},
 		"known":  map[string]any{"version": 1, "full": true, "servers": servers},
-		"settings": map[string]any{"balancers": max(nodes, 1), "index": index, "tick_us": 5000, "membership_mode": "on_request",
-			"ceilings":    map[string]any{"dial_timeout_us": 2000000, "max_retry_after_us": 1000000, "retry_after": true, "send_cap": 3, "peers": true},
-			"classes":     []any{map[string]any{"name": "c", "effect": "read_like", "deadline_us": 20000000}},
-			"family_info": map[string]any{"message_aim_us": []float64{300000}, "tenant_quota_connections": []float64{100000}},
-			"report":      map[string]any{"via": "none"},
-			"rules":       map[string]any{"cold_from": 0.3, "cold_us": 8000000, "fall_multiple": 3, "fall_us": 2000000}}}
+		"settings": map[string]any{"balancers": max(nodes, 1), "index": index, "tick_us": 5000,
+			"membership_mode": "on_request",
+			"ceilings": map[string]any{"dial_timeout_us": 2000000, "max_retry_after_us": 1000000,
+				"retry_after": true, "send_cap": 3, "peers": true},
+			"classes": []any{map[string]any{"name": "c", "effect": "read_like", "deadline_us": 20000000}},
+			"family_info": map[string]any{"message_aim_us": []float64{300000},
+				"tenant_quota_connections": []float64{100000}},
+			"report": map[string]any{"via": "none"},
+			"rules": map[string]any{"cold_from": 0.3, "cold_us": 8000000,
+				"fall_multiple": 3, "fall_us": 2000000}}}
 	if nodes > 0 {
-		var all []string
+		var addrs []string
 		for i := range nodes {
-			all = append(all, fmt.Sprintf("10.%d.%d.%d:7946", i/62500+1, i/250%250, i%250+1))
+			addrs = append(addrs, fmt.Sprintf("10.%d.%d.%d:7946", i/62500+1, i/250%250, i%250+1))
 		}
-		c["peers"] = map[string]any{"listen": "127.0.0.1:0", "nodes": all}
-		c["budgets"] = map[string]any{"lease": true, "list_calls_per_s": 100}
+		config["peers"] = map[string]any{"listen": "127.0.0.1:0", "nodes": addrs}
+		config["budgets"] = map[string]any{"lease": true, "list_calls_per_s": 100}
 	}
-	return c
+	return config
 }
 
-// child is a node in a process of its own.
-type child struct {
-	cmd   *exec.Cmd
-	addr  string
-	bytes int           // of its configuration
-	up    time.Duration // from the start of its process until it takes clients
+// nodeProcess is a node that runs in a separate process.
+type nodeProcess struct {
+	cmd         *exec.Cmd
+	addr        string
+	configBytes int           // size of its configuration
+	startup     time.Duration // time from the start of the process until it accepts clients
 }
 
-func (b *bench) child(ctx context.Context, config map[string]any) (*child, error) {
-	binary, err := b.o.Binary, error(nil)
+// startNode starts a node process and waits until it accepts clients.
+func (b *bench) startNode(ctx context.Context, config map[string]any) (*nodeProcess, error) {
+	binary, err := b.options.Binary, error(nil)
 	if binary == "" {
 		if binary, err = os.Executable(); err != nil {
 			return nil, err
@@ -66,7 +72,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer os.RemoveAll(dir) // it is read before the node serves
+	defer os.RemoveAll(dir) // the node has read its configuration before it serves
 	data, err := json.MarshalIndent(config, "", " ")
 	if err != nil {
 		return nil, err
@@ -75,212 +81,226 @@
 	if err := os.WriteFile(path, data, 0o600); err != nil {
 		return nil, err
 	}
-	p := &child{cmd: exec.CommandContext(ctx, binary), bytes: len(data)}
+	p := &nodeProcess{cmd: exec.CommandContext(ctx, binary), configBytes: len(data)}
 	p.cmd.Env = []string{"LB_CONFIG=" + path, "LB_LOG=info", "PATH=" + os.Getenv("PATH")}
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	out, err := p.cmd.StderrPipe()
+	stderr, err := p.cmd.StderrPipe()
 	if err != nil {
 		return nil, err
 	}
-	begun := time.Now()
+	started := time.Now()
 	if err := p.cmd.Start(); err != nil {
 		return nil, err
 	}
-	serves, last := make(chan string, 1), ""
+	serving, lastLine := make(chan string, 1), ""
 	go func() {
-		in := bufio.NewScanner(out)
-		in.Buffer(nil, 1<<20)
-		for in.Scan() {
+		lines := bufio.NewScanner(stderr)
+		lines.Buffer(nil, 1<<20)
+		for lines.Scan() {
 			var line struct{ Msg, Listen string }
-			last = in.Text()
-			if json.Unmarshal(in.Bytes(), &line); line.Msg == "serving" {
-				p.up = time.Since(begun)
-				serves <- line.Listen
+			lastLine = lines.Text()
+			if json.Unmarshal(lines.Bytes(), &line); line.Msg == "serving" {
+				p.startup = time.Since(started)
+				serving <- line.Listen
 			}
 		}
-		io.Copy(io.Discard, out)
-		close(serves)
+		io.Copy(io.Discard, stderr)
+		close(serving)
 	}()
 	select {
-	case addr, ok := <-serves:
+	case addr, ok := <-serving:
 		if !ok {
 			p.cmd.Wait()
-			return nil, fmt.Errorf("the node did not start: %s", last)
+			return nil, fmt.Errorf("node did not start: %s", lastLine)
 		}
 		p.addr = addr
 		return p, nil
-	case <-time.After(patience):
+	case <-time.After(stepTimeout):
 		p.stop()
-		return nil, errors.New("the node did not start in time")
+		return nil, errors.New("node did not start before the step timeout")
 	}
 }
 
-func (p *child) stop() {
+// stop kills the process and waits for its end.
+func (p *nodeProcess) stop() {
 	p.cmd.Process.Kill()
 	p.cmd.Wait()
 }
 
-// start measures a node's start by the peers that its configuration names.
-func start(ctx context.Context, b *bench) error {
-	size := b.slope("start.bytes", "bytes of a configuration that names all nodes", "bytes", "nodes")
-	parse := b.slope("start.check", "processor time to read and check it", "us", "nodes")
-	used := b.slope("start.cpu", "processor time of a process until it takes clients", "us", "nodes")
-	after := b.slope("start.time", "time until then", "ms", "nodes")
-	mem := b.slope("start.memory", "memory of the process then (resident)", "bytes", "nodes")
-	return b.each(ctx, NodeCounts, func(n, _ int) error {
-		cfg := config(n, n-1, "127.0.0.1:1", nil)
-		p, err := b.child(ctx, cfg)
+// measureStartup measures the start of a node by the number of nodes that its configuration lists.
+func measureStartup(ctx context.Context, b *bench) error {
+	configBytes := b.measurement("start.bytes", "bytes of a configuration that names all nodes", "bytes", "nodes")
+	checkTime := b.measurement("start.check", "processor time to read and check it", "us", "nodes")
+	startupCPU := b.measurement("start.cpu", "processor time of a process until it takes clients", "us", "nodes")
+	startupTime := b.measurement("start.time", "time until then", "ms", "nodes")
+	memory := b.measurement("start.memory", "memory of the process then (resident)", "bytes", "nodes")
+	return b.forEachSize(ctx, NodeCounts, func(size, _ int) error {
+		config := nodeConfig(size, size-1, "127.0.0.1:1", nil)
+		p, err := b.startNode(ctx, config)
 		if err != nil {
 			return err
 		}
-		used.add(n, float64(cpuOf(p.cmd.Process.Pid))/1e3)
-		mem.add(n, pages(p.cmd.Process.Pid))
+		startupCPU.add(size, float64(cpuTimeOf(p.cmd.Process.Pid))/1e3)
+		memory.add(size, residentMemory(p.cmd.Process.Pid))
 		p.stop()
-		after.add(n, float64(p.up)/1e6)
-		size.add(n, float64(p.bytes))
-		f, err := os.CreateTemp("", "capacity")
+		startupTime.add(size, float64(p.startup)/1e6)
+		configBytes.add(size, float64(p.configBytes))
+		file, err := os.CreateTemp("", "capacity")
 		if err != nil {
 			return err
 		}
-		defer os.Remove(f.Name())
-		defer f.Close()
-		if err := json.NewEncoder(f).Encode(cfg); err != nil {
+		defer os.Remove(file.Name())
+		defer file.Close()
+		if err := json.NewEncoder(file).Encode(config); err != nil {
 			return err
 		}
-		parse.add(n, timed(5, func() {
+		checkTime.add(size, cpuMicros(5, func() {
 			for range 5 {
-				c, bad := node.Load(func(key string) string { return map[string]string{"LB_CONFIG": f.Name()}[key] })
-				if bad == nil {
-					bad = errors.Join(c.Validate()...)
+				loaded, loadErr := node.Load(func(key string) string {
+					return map[string]string{"LB_CONFIG": file.Name()}[key]
+				})
+				if loadErr == nil {
+					loadErr = errors.Join(loaded.Validate()...)
 				}
-				err = cmp.Or(err, bad)
+				err = cmp.Or(err, loadErr)
 			}
 		}))
 		return err
 	})
 }
 
-// standing measures a real node with clients: what a standing connection holds, what a set-up and a message cost.
-func standing(ctx context.Context, b *bench) error {
-	mem := b.slope("node.memory", "memory of a node's process by its standing connections (resident)", "bytes", "connections")
-	fds := b.slope("node.descriptors", "its descriptors", "", "connections")
-	setup := b.slope("node.setup", "processor time of a set-up at the node, all of them together", "us", "connections")
-	message := b.slope("node.messages", "processor time of one message there and back on each connection, all together", "us", "connections")
-	idle := b.slope("node.idle", "processor time a second of connections that say nothing", "us", "connections")
-	return b.each(ctx, ConnectionCounts, func(n, turn int) error {
-		return b.stand(ctx, n, turn, func(used used) {
-			mem.add(n, used.memory)
-			fds.add(n, used.descriptors)
-			setup.add(n, used.setup)
-			message.add(n, used.message)
-			idle.add(n, used.idle)
+// measureConnections measures a node process with clients: the memory and descriptors of open connections, and the CPU
+// time of connection setup and of messages.
+func measureConnections(ctx context.Context, b *bench) error {
+	memory := b.measurement("node.memory",
+		"memory of a node's process by its standing connections (resident)", "bytes", "connections")
+	descriptors := b.measurement("node.descriptors", "its descriptors", "", "connections")
+	setup := b.measurement("node.setup",
+		"processor time of a set-up at the node, all of them together", "us", "connections")
+	message := b.measurement("node.messages",
+		"processor time of one message there and back on each connection, all together", "us", "connections")
+	idle := b.measurement("node.idle",
+		"processor time a second of connections that say nothing", "us", "connections")
+	return b.forEachSize(ctx, ConnectionCounts, func(size, repetition int) error {
+		return b.measureWithClients(ctx, size, repetition, func(costs connectionCosts) {
+			memory.add(size, costs.memory)
+			descriptors.add(size, costs.descriptors)
+			setup.add(size, costs.setup)
+			message.add(size, costs.message)
+			idle.add(size, costs.idle)
 		})
 	})
 }
 
-// used is what so many connections have cost a node, in microseconds, bytes and descriptors.
-type used struct{ setup, message, idle, memory, descriptors float64 }
+// connectionCosts holds the costs of all connections of a node, in microseconds, bytes and descriptors.
+type connectionCosts struct{ setup, message, idle, memory, descriptors float64 }
 
-// echo is a server that takes all that come and sends back what they say; from is told where each comes from, unless it is nil.
-func echo(from func(net.Addr)) (net.Listener, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// startEchoServer starts a server that accepts all connections and echoes their data. It calls onAccept with the remote
+// address of each connection, unless onAccept is nil.
+func startEchoServer(onAccept func(net.Addr)) (net.Listener, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	serve := func(c net.Conn) {
-		defer c.Close()
-		first, err := answer(c)
-		words := strings.Fields(first)
-		if err != nil || len(words) < 2 || words[0] != "OPEN" {
+	serve := func(conn net.Conn) {
+		defer conn.Close()
+		line, err := readLine(conn)
+		fields := strings.Fields(line)
+		if err != nil || len(fields) < 2 || fields[0] != "OPEN" {
 			return
 		}
-		if _, err := fmt.Fprintf(c, "UP %s\r\n", words[1]); err == nil {
-			io.CopyBuffer(struct{ io.Writer }{c}, struct{ io.Reader }{c}, make([]byte, 256))
+		if _, err := fmt.Fprintf(conn, "UP %s\r\n", fields[1]); err == nil {
+			io.CopyBuffer(struct{ io.Writer }{conn}, struct{ io.Reader }{conn}, make([]byte, 256))
 		}
 	}
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			if from != nil {
-				from(c.RemoteAddr())
+			if onAccept != nil {
+				onAccept(conn.RemoteAddr())
 			}
-			go serve(c)
+			go serve(conn)
 		}
 	}()
-	return l, nil
+	return listener, nil
 }
 
-// among starts a node with clients' servers, eight of them; end ends all.
-func (b *bench) among(ctx context.Context, source string, from func(net.Addr)) (p *child, end func(), err error) {
-	var known []emulator.Endpoint
-	var open []net.Listener
-	shut := func() {
-		for _, l := range open {
+// startNodeWithServers starts a node with eight servers. The returned stop stops all of them.
+func (b *bench) startNodeWithServers(ctx context.Context, source string, onAccept func(net.Addr)) (
+	p *nodeProcess, stop func(), err error) {
+	var endpoints []emulator.Endpoint
+	var listeners []net.Listener
+	closeListeners := func() {
+		for _, l := range listeners {
 			l.Close()
 		}
 	}
 	for i := range 8 {
-		l, err := echo(from)
+		listener, err := startEchoServer(onAccept)
 		if err != nil {
-			shut()
+			closeListeners()
 			return nil, nil, err
 		}
-		open = append(open, l)
-		known = append(known, emulator.Endpoint{ID: fmt.Sprintf("s-%d", i), Addr: l.Addr().String(), State: "up", Weight: 1})
+		listeners = append(listeners, listener)
+		endpoints = append(endpoints,
+			emulator.Endpoint{ID: fmt.Sprintf("s-%d", i), Addr: listener.Addr().String(), State: "up", Weight: 1})
 	}
-	cfg := config(0, 0, "127.0.0.1:1", known) // no list service is there: the node goes on with the list that it has
+	// There is no list service at this address: the node keeps its initial list.
+	config := nodeConfig(0, 0, "127.0.0.1:1", endpoints)
 	if source != "" {
-		cfg["source"] = source
+		config["source"] = source
 	}
-	if p, err = b.child(ctx, cfg); err != nil {
-		shut()
+	if p, err = b.startNode(ctx, config); err != nil {
+		closeListeners()
 		return nil, nil, err
 	}
-	return p, func() { p.stop(); shut() }, nil
+	return p, func() { p.stop(); closeListeners() }, nil
 }
 
-// ports counts the local ports that a real node's connections to its servers take: with the key "source", and without.
-func ports(ctx context.Context, b *bench) error {
-	set := b.slope("ports.source", "local ports that connections to 8 servers take, where the key `source` is set", "", "connections")
-	unset := b.slope("ports.plain", "the same where it is not", "", "connections")
-	return b.each(ctx, ConnectionCounts, func(n, turn int) error {
-		// Each time another address: a port is not free for a while after its connection.
+// measurePorts counts the local ports used by the connections of a node process to its servers, with and without the
+// configuration key "source".
+func measurePorts(ctx context.Context, b *bench) error {
+	withSource := b.measurement("ports.source",
+		"local ports that connections to 8 servers take, where the key `source` is set", "", "connections")
+	withoutSource := b.measurement("ports.plain", "the same where it is not", "", "connections")
+	return b.forEachSize(ctx, ConnectionCounts, func(size, repetition int) error {
+		// The source address differs each time, since a port stays in use for a while after its connection.
 		for _, c := range []struct {
-			s      *Measurement
+			m      *Measurement
 			source string
-		}{{set, fmt.Sprintf("127.%d.%d.%d", turn+1, n/250, n%250+1)}, {unset, ""}} {
+		}{{withSource, fmt.Sprintf("127.%d.%d.%d", repetition+1, size/250, size%250+1)}, {withoutSource, ""}} {
 			var mu sync.Mutex
-			taken, came, other := map[int]bool{}, 0, ""
-			p, end, err := b.among(ctx, c.source, func(a net.Addr) {
+			ports, accepted, otherSource := map[int]bool{}, 0, ""
+			p, stop, err := b.startNodeWithServers(ctx, c.source, func(addr net.Addr) {
 				mu.Lock()
 				defer mu.Unlock()
-				came++
-				if t, ok := a.(*net.TCPAddr); ok {
-					if taken[t.Port] = true; c.source != "" && t.IP.String() != c.source {
-						other = t.IP.String()
+				accepted++
+				if tcpAddr, ok := addr.(*net.TCPAddr); ok {
+					if ports[tcpAddr.Port] = true; c.source != "" && tcpAddr.IP.String() != c.source {
+						otherSource = tcpAddr.IP.String()
 					}
 				}
 			})
 			if err != nil {
 				return err
 			}
-			conns, err := b.connect(p, n, turn)
+			conns, err := b.connect(p, size, repetition)
 			for _, c := range conns {
 				defer c.Close()
 			}
 			mu.Lock()
-			if err == nil && came != n {
-				err = fmt.Errorf("%d connections of %d clients", came, n)
+			if err == nil && accepted != size {
+				err = fmt.Errorf("%d connections accepted for %d clients", accepted, size)
 			}
-			if err == nil && other != "" {
-				err = fmt.Errorf("a connection came from %s, not from %s", other, c.source)
+			if err == nil && otherSource != "" {
+				err = fmt.Errorf("a connection has source address %s instead of %s", otherSource, c.source)
 			}
-			c.s.add(n, float64(len(taken)))
+			c.m.add(size, float64(len(ports)))
 			mu.Unlock()
-			end()
+			stop()
 			if err != nil {
 				return err
 			}
@@ -289,19 +309,20 @@
 	})
 }
 
-func (b *bench) stand(ctx context.Context, n, turn int, take func(used)) error {
-	p, end, err := b.among(ctx, "", nil)
+// measureWithClients measures the costs of a number of connections of one node process.
+func (b *bench) measureWithClients(ctx context.Context, size, repetition int, record func(connectionCosts)) error {
+	p, stop, err := b.startNodeWithServers(ctx, "", nil)
 	if err != nil {
 		return err
 	}
-	defer end()
+	defer stop()
 	pid := p.cmd.Process.Pid
-	// One connection first, so that what comes with the first is not counted.
-	if err := b.warm(p); err != nil {
+	// Opens one connection first, so that one-time costs of the first connection are not counted.
+	if err := b.warmUp(p); err != nil {
 		return err
 	}
-	files, begun := descriptors(pid), cpuOf(pid)
-	conns, err := b.connect(p, n, turn)
+	descriptorsBefore, cpuBefore := openDescriptors(pid), cpuTimeOf(pid)
+	conns, err := b.connect(p, size, repetition)
 	defer func() {
 		for _, c := range conns {
 			c.Close()
@@ -310,20 +331,22 @@
 	if err != nil {
 		return err
 	}
-	u := used{setup: float64(cpuOf(pid)-begun) / 1e3, descriptors: float64(descriptors(pid) - files)}
-	begun = cpuOf(pid)
-	if err := exchange(conns); err != nil {
+	costs := connectionCosts{setup: float64(cpuTimeOf(pid)-cpuBefore) / 1e3,
+		descriptors: float64(openDescriptors(pid) - descriptorsBefore)}
+	cpuBefore = cpuTimeOf(pid)
+	if err := exchangeMessages(conns); err != nil {
 		return err
 	}
-	u.message = float64(cpuOf(pid)-begun) / 1e3
-	begun = cpuOf(pid)
-	time.Sleep(time.Second) // what is measured is a second of it
-	u.idle, u.memory = float64(cpuOf(pid)-begun)/1e3, pages(pid)
-	take(u)
+	costs.message = float64(cpuTimeOf(pid)-cpuBefore) / 1e3
+	cpuBefore = cpuTimeOf(pid)
+	time.Sleep(time.Second) // the idle cost is that of one second
+	costs.idle, costs.memory = float64(cpuTimeOf(pid)-cpuBefore)/1e3, residentMemory(pid)
+	record(costs)
 	return nil
 }
 
-func (b *bench) warm(p *child) error {
+// warmUp opens one connection and closes it.
+func (b *bench) warmUp(p *nodeProcess) error {
 	conns, err := b.connect(p, 1, -1)
 	for _, c := range conns {
 		c.Close()
@@ -331,63 +354,63 @@
 	return err
 }
 
-// connect has clients come, 64 at once.
-func (b *bench) connect(p *child, n, turn int) (conns []net.Conn, err error) {
+// connect opens the connections of clients, 64 at a time.
+func (b *bench) connect(p *nodeProcess, size, repetition int) (conns []net.Conn, err error) {
 	type result struct {
-		c   net.Conn
-		err error
+		conn net.Conn
+		err  error
 	}
-	results, places := make(chan result, n), make(chan bool, 64)
-	for i := range n {
-		places <- true
+	results, slots := make(chan result, size), make(chan bool, 64)
+	for i := range size {
+		slots <- true
 		go func() {
-			defer func() { <-places }()
-			c, err := net.DialTimeout("tcp", p.addr, patience)
+			defer func() { <-slots }()
+			conn, err := net.DialTimeout("tcp", p.addr, stepTimeout)
 			if err != nil {
 				results <- result{nil, err}
 				return
 			}
-			c.SetDeadline(time.Now().Add(patience))
-			fmt.Fprintf(c, "OPEN r%d-%d k%d-%d-%d c=c,d=20000\r\n", turn, i, b.o.Seed, turn, i)
-			line, err := answer(c)
+			conn.SetDeadline(time.Now().Add(stepTimeout))
+			fmt.Fprintf(conn, "OPEN r%d-%d k%d-%d-%d c=c,d=20000\r\n", repetition, i, b.options.Seed, repetition, i)
+			line, err := readLine(conn)
 			if err == nil && !strings.HasPrefix(line, "UP ") {
-				err = fmt.Errorf("a client was told %q", line)
+				err = fmt.Errorf("a client received %q instead of UP", line)
 			}
-			results <- result{c, err}
+			results <- result{conn, err}
 		}()
 	}
-	for range n {
+	for range size {
 		r := <-results
-		if r.c != nil {
-			conns = append(conns, r.c)
+		if r.conn != nil {
+			conns = append(conns, r.conn)
 		}
 		err = cmp.Or(err, r.err)
 	}
 	return conns, err
 }
 
-// answer reads a line byte by byte, so that a client holds no buffer.
-func answer(c net.Conn) (string, error) {
+// readLine reads a line byte by byte, so that a connection needs no read buffer.
+func readLine(conn net.Conn) (string, error) {
 	var line []byte
-	for one := make([]byte, 1); !slices.Contains(line, '\n'); line = append(line, one[0]) {
-		if _, err := c.Read(one); err != nil {
+	for char := make([]byte, 1); !slices.Contains(line, '\n'); line = append(line, char[0]) {
+		if _, err := conn.Read(char); err != nil {
 			return "", err
 		}
 	}
 	return string(line), nil
 }
 
-// exchange has a line go there and back on each connection, 64 at once.
-func exchange(conns []net.Conn) error {
-	errs, places := make(chan error, len(conns)), make(chan bool, 64)
-	for _, c := range conns {
-		places <- true
+// exchangeMessages sends a line on each connection and reads its echo, 64 connections at a time.
+func exchangeMessages(conns []net.Conn) error {
+	errs, slots := make(chan error, len(conns)), make(chan bool, 64)
+	for _, conn := range conns {
+		slots <- true
 		go func() {
-			defer func() { <-places }()
-			_, err := io.WriteString(c, "MSG 0123456789012345678901234567890123456789\r\n")
+			defer func() { <-slots }()
+			_, err := io.WriteString(conn, "MSG 0123456789012345678901234567890123456789\r\n")
 			for err == nil {
 				var line string
-				if line, err = answer(c); strings.HasPrefix(line, "MSG ") {
+				if line, err = readLine(conn); strings.HasPrefix(line, "MSG ") {
 					break
 				}
 			}
