--- a/lab/scale/fleet.go
+++ b/lab/scale/fleet.go
@@ -73,7 +73,10 @@
 	return order
 }
 
-func zoneOf(node int) int   { return node % Zones }
+// zoneOf returns the zone of a node.
+func zoneOf(node int) int { return node % Zones }
+
+// regionOf returns the region of a zone.
 func regionOf(zone int) int { return zone * Regions / Zones }
 
 // listServiceZone is the zone of the list service.
@@ -158,7 +161,7 @@
 }
 
 // leaderRanking returns the nodes in the order in which they become leader of the budgets. It repeats the ranking of
-// the budget code. Nodes that report another leader are noted at the end of the run.
+// package budget. The result of a run has a note if over 1% of the nodes follow a leader that is not among the first.
 func leaderRanking(nodes int) []int {
 	ranking := make([]int, nodes)
 	for i := range ranking {
--- a/lab/scale/scale.go
+++ b/lab/scale/scale.go
@@ -97,8 +97,8 @@
 	InvalidReason string `json:"void"` // why the figures are invalid; "" if they are valid
 	// Settled reports whether all nodes had applied the list and over 99% followed a leader before the measurement.
 	Settled bool `json:"settled"`
-	// MaxDelayMS and LateSampleRatio are maxima over the processes of the run itself, without those of leader
-	// candidates: the delay in milliseconds, and the fraction of the delay samples above 100 ms.
+	// MaxDelayMS and LateSampleRatio are maxima over the coordinator and the worker processes of ordinary nodes: the
+	// delay in milliseconds, and the fraction of the delay samples above 100 ms.
 	MaxDelayMS      float64         `json:"late_ms"`
 	LateSampleRatio float64         `json:"late_looks"`
 	StartupSeconds  float64         `json:"start_s"` // time until all nodes served
@@ -138,9 +138,9 @@
 	Missing int     `json:"never"` // pairs of node and change where the change was not applied in time
 }
 
-// Peak is the load peak after a fault ends: the most messages that a receiver got in any second after it, divided by
-// the mean before it, at the receiver with the highest ratio. A mean below ten counts as ten. At the list service,
-// calls are compared with the mean of calls and list notifications.
+// Peak is the load peak after the end of an outage, or after the failure of the leader: the most messages that a
+// receiver got in any second after that time, divided by the mean before it, at the receiver with the highest ratio. A
+// mean below ten counts as ten. At the list service, calls are compared with the mean of calls and list notifications.
 type Peak struct {
 	Ratio float64 `json:"times"`
 	Role  string  `json:"role"`
@@ -217,8 +217,8 @@
 
 const (
 	serverCount        = 30
-	clientsPerRealNode = 10 // clients of each real node
-	unitsPerNode       = 4  // common limit of all nodes, in units per second and node
+	clientsPerRealNode = 10
+	unitsPerNode       = 4 // common limit of all nodes, in units per second and node
 	// candidateCount is the number of first nodes in the leader ranking. Each runs in a separate process, so that the
 	// cost of leading is measured separately.
 	candidateCount = 8
@@ -230,31 +230,31 @@
 
 // fleet coordinates the measurement at one size.
 type fleet struct {
-	options        Options
-	size           int
-	result         *Fleet
-	starter        *process.Starter
-	topology       topology
-	reservedPorts  []net.PacketConn // kept open so that a concurrent run uses other ports
-	relay          *emulator.DatagramNetwork
-	links          *links
-	realNodeLinks  [Zones][Zones]emulator.Direction // links of the datagrams of real nodes
-	list           *workerProcess
-	nodeWorkers    []*workerProcess // processes of emulated nodes
-	hasOwnProcess  map[int]bool
-	killed         map[int]bool // nodes that are killed and not revived
-	realNodes      []*realNode
-	configTemplate map[string]any
+	options             Options
+	size                int
+	result              *Fleet
+	starter             *process.Starter
+	topology            topology
+	reservedPorts       []net.PacketConn // kept open so that a concurrent run uses other ports
+	relay               *emulator.DatagramNetwork
+	links               *links
+	realNodeLinks       [Zones][Zones]emulator.Direction // links of the datagrams of real nodes
+	list                *workerProcess                   // the list service
+	nodeWorkers         []*workerProcess                 // processes of emulated nodes
+	hasDedicatedProcess map[int]bool                     // nodes that share their process with no other node
+	killed              map[int]bool                     // nodes that are killed and not revived
+	realNodes           []*realNode
+	configTemplate      map[string]any
 
 	mu               sync.Mutex
 	servers          []*emulator.Server
 	lastServerNumber int
-	listVersion      int64 // version of the endpoint list
-	changedAt        map[int64]time.Time
+	listVersion      int64               // version of the endpoint list
+	changedAt        map[int64]time.Time // by version
 	// applied holds, by version and node, the delay from the change, or from the return of the node if that was later.
 	applied      map[int64]map[int]time.Duration
 	returnedAt   map[int]time.Time // by node: time of its last return
-	unitCounts   map[int64]int
+	unitCounts   map[int64]int     // units taken by time bucket
 	leaderStates map[*workerProcess]*leaderState
 	failures     []string
 	delays       delayMonitor
@@ -276,8 +276,8 @@
 func newFleet(options Options, size int) *fleet {
 	return &fleet{
 		options: options, size: size,
-		result:        &Fleet{Nodes: size, RealNodes: options.RealNodes, Roles: map[string]Role{}},
-		hasOwnProcess: map[int]bool{}, killed: map[int]bool{},
+		result:              &Fleet{Nodes: size, RealNodes: options.RealNodes, Roles: map[string]Role{}},
+		hasDedicatedProcess: map[int]bool{}, killed: map[int]bool{},
 		links: newLinks(Links{WithinZone: 250 * time.Microsecond, WithinRegion: time.Millisecond,
 			BetweenRegions: 40 * time.Millisecond, LossRate: 0.001}),
 		changedAt: map[int64]time.Time{}, applied: map[int64]map[int]time.Duration{},
@@ -396,13 +396,13 @@
 	}
 	groups := [][]int{}
 	for _, n := range f.leaderCandidates() {
-		f.hasOwnProcess[n] = true
+		f.hasDedicatedProcess[n] = true
 		groups = append(groups, []int{n})
 	}
 	var emulated []int
 	for z := range Zones {
 		for i := z; i < f.size; i += Zones {
-			if !f.hasOwnProcess[i] && !slices.Contains(realIndexes, i) {
+			if !f.hasDedicatedProcess[i] && !slices.Contains(realIndexes, i) {
 				emulated = append(emulated, i)
 			}
 		}
@@ -415,7 +415,7 @@
 	}
 	for _, group := range groups {
 		proc := &workerProcess{role: "node", nodes: group}
-		if f.hasOwnProcess[group[0]] {
+		if f.hasDedicatedProcess[group[0]] {
 			proc.role = "spare"
 			if f.options.ControlNodes > 0 {
 				proc.role = "control"
@@ -907,10 +907,10 @@
 	result.Units.MaxPerSecond = maxUnitsPerSecond(f.unitCounts)
 	result.Clients = f.clientStats.snapshot()
 	result.Targets = f.targets()
-	sharedProcess := 0
+	sharedLeaderFollowers := 0
 	for leader, nodes := range nodesByLeader {
-		if f.options.ControlNodes == 0 && leader >= 0 && !f.hasOwnProcess[leader] {
-			sharedProcess += nodes
+		if f.options.ControlNodes == 0 && leader >= 0 && !f.hasDedicatedProcess[leader] {
+			sharedLeaderFollowers += nodes
 		}
 	}
 	result.Notes = append(result.Notes, "at the end "+describeLeaders(nodesByLeader))
@@ -920,8 +920,9 @@
 	case result.MaxDelayMS > maxDelayMS || result.LateSampleRatio > maxLateSampleRatio:
 		result.InvalidReason = fmt.Sprintf("the run was %.0f ms late at most, and over %v at %g of its looks",
 			result.MaxDelayMS, lateThreshold, result.LateSampleRatio)
-	case sharedProcess > f.size/100: // the cost of that leader is counted as that of ordinary nodes
-		result.Notes = append(result.Notes, fmt.Sprintf("%d nodes ask one that shares its process", sharedProcess))
+	case sharedLeaderFollowers > f.size/100: // the cost of that leader is counted as that of ordinary nodes
+		result.Notes = append(result.Notes,
+			fmt.Sprintf("%d nodes ask one that shares its process", sharedLeaderFollowers))
 	}
 }
 
--- a/lab/scale/scenarios.go
+++ b/lab/scale/scenarios.go
@@ -9,7 +9,7 @@
 	"brassmux/lab/emulator"
 )
 
-// runScenario runs the scenario. It takes the measured duration, and that of the outage in addition if there is one.
+// runScenario runs the scenario for the measured duration. The length of an outage is added to that.
 func (f *fleet) runScenario() {
 	phase := f.options.Duration / 3 // before the fault, to measure the baseline; the rest follows the fault
 	switch f.options.Scenario {
