--- a/lab/scale/scale.go
+++ b/lab/scale/scale.go
@@ -1,6 +1,7 @@
-// Package scale plays fleets of growing size on one machine: hollow nodes, which run the program's own control code with their clients'
-// traffic drawn, beside real processes that serve real clients and a list service, with zones and regions on their links. It
-// counts what control costs each role, and holds it against what the size that is coming allows.
+// Package scale measures the cost of the control plane in fleets of growing size on one machine. A fleet consists of
+// emulated nodes, which run the program's own control code under synthetic traffic, real node processes that serve
+// real clients, and a list service; the links between them have the delays and losses of zones and regions. The cost
+// for each role is compared with its target at the planned fleet size.
 package scale
 
 import (
@@ -23,159 +24,165 @@
 	"brassmux/lab/process"
 )
 
-// Options say what is played.
+// Options configures a run.
 type Options struct {
-	Nodes    []int         // sizes, hollow and real nodes together
-	Real     int           // processes of the program among them that serve real clients
-	Seed     uint64        // for the nodes, their traffic and chance
-	For      time.Duration // that is counted over, in each fleet
-	Control  int           // control machines beside them; 0 where control is flat
-	Scenario string        // one of Scenarios
-	Cut      time.Duration // how long a cut or a loss lasts, where the scenario has one
-	Binary   string        // of the program; "" for the one that runs
-	Log      io.Writer     // of what goes on; nil for none
+	Nodes          []int         // fleet sizes in ascending order, emulated and real nodes together
+	RealNodes      int           // number of real node processes among them, which serve real clients
+	Seed           uint64        // seed of the random numbers of nodes, traffic and clients
+	Duration       time.Duration // measured time in each fleet
+	ControlNodes   int           // control nodes in addition to Nodes; 0 if all nodes are peers
+	Scenario       string        // one of those returned by Scenarios
+	OutageDuration time.Duration // length of the outage in the scenarios that have one
+	Binary         string        // path of the program; "" for the running one
+	Log            io.Writer     // destination of progress messages; nil for none
 }
 
 // Bounds of the options.
 const (
-	leastNodes, mostNodes = 40, 12_000
-	mostReal              = 60
-	mostControl           = 32
-	leastFor, mostFor     = 5 * time.Second, 10 * time.Minute
-	perProcess            = 300 // hollow nodes
+	minNodes, maxNodes       = 40, 12_000
+	maxRealNodes             = 60
+	maxControlNodes          = 32
+	minDuration, maxDuration = 5 * time.Second, 10 * time.Minute
+	nodesPerWorker           = 300 // emulated nodes of one worker process
 )
 
-// Scenarios are those that can be played.
+// Scenarios returns the names of the scenarios.
 func Scenarios() []string { return []string{"steady", "restarts", "zone", "region", "cold", "leader"} }
 
-// Check names the first option that is faulty.
+// Check returns an error for the first invalid option.
 func (o *Options) Check() error {
 	if len(o.Nodes) == 0 {
-		return errors.New("--nodes: none")
+		return errors.New("--nodes: at least one size is required")
 	}
 	for i, n := range o.Nodes {
-		if n < leastNodes || n > mostNodes {
-			return fmt.Errorf("--nodes: %d is not %d to %d", n, leastNodes, mostNodes)
+		if n < minNodes || n > maxNodes {
+			return fmt.Errorf("--nodes: %d is not between %d and %d", n, minNodes, maxNodes)
 		} else if i > 0 && n <= o.Nodes[i-1] {
-			return fmt.Errorf("--nodes: %d is not over the one before it", n)
+			return fmt.Errorf("--nodes: %d is not greater than the size before it", n)
 		}
-		if o.Real < 0 || o.Real > mostReal || o.Real > n/4 {
-			return fmt.Errorf("--real: %d is not 0 to %d, and a fourth of the nodes at most", o.Real, mostReal)
+		if o.RealNodes < 0 || o.RealNodes > maxRealNodes || o.RealNodes > n/4 {
+			return fmt.Errorf("--real: %d is not between 0 and %d, or is more than a fourth of the nodes",
+				o.RealNodes, maxRealNodes)
 		}
 	}
-	if o.Control < 0 || o.Control > mostControl {
-		return fmt.Errorf("--control: %d is not 0 to %d", o.Control, mostControl)
+	if o.ControlNodes < 0 || o.ControlNodes > maxControlNodes {
+		return fmt.Errorf("--control: %d is not between 0 and %d", o.ControlNodes, maxControlNodes)
 	}
-	if o.For < leastFor || o.For > mostFor {
-		return fmt.Errorf("--for: %v is not %v to %v", o.For, leastFor, mostFor)
+	if o.Duration < minDuration || o.Duration > maxDuration {
+		return fmt.Errorf("--for: %v is not between %v and %v", o.Duration, minDuration, maxDuration)
 	}
-	if o.Cut < time.Second || o.Cut > mostFor {
-		return fmt.Errorf("--cut: %v is not 1s to %v", o.Cut, mostFor)
+	if o.OutageDuration < time.Second || o.OutageDuration > maxDuration {
+		return fmt.Errorf("--cut: %v is not between 1s and %v", o.OutageDuration, maxDuration)
 	}
 	if !slices.Contains(Scenarios(), o.Scenario) {
-		return fmt.Errorf("--scenario: %q is none of %s", o.Scenario, strings.Join(Scenarios(), ", "))
+		return fmt.Errorf("--scenario: %q is not one of %s", o.Scenario, strings.Join(Scenarios(), ", "))
 	}
 	return nil
 }
 
-// Result is what was counted with all sizes.
+// Result holds the figures of a run at all fleet sizes.
 type Result struct {
-	Scenario string   `json:"scenario"`
-	Seed     uint64   `json:"seed"`
-	Control  int      `json:"control"` // control machines; 0 where control is flat
-	For      float64  `json:"for_s"`
-	Fleets   []*Fleet `json:"fleets"`
-	Slopes   []Slope  `json:"slopes"` // over the sizes; none under four of them
+	Scenario        string   `json:"scenario"`
+	Seed            uint64   `json:"seed"`
+	ControlNodes    int      `json:"control"` // control nodes; 0 if all nodes are peers
+	DurationSeconds float64  `json:"for_s"`
+	Fleets          []*Fleet `json:"fleets"`
+	Slopes          []Slope  `json:"slopes"` // growth over the sizes; empty for fewer than four
 }
 
-// Fleet is what was counted with one size.
+// Fleet holds the figures at one size.
 type Fleet struct {
-	Nodes   int             `json:"nodes"`
-	Real    int             `json:"real"`
-	Void    string          `json:"void"`       // why the run says nothing; "" where it does
-	Settled bool            `json:"settled"`    // before it began all nodes followed the list and one keeper
-	Late    float64         `json:"late_ms"`    // the most by which any process of the run itself was late, of those that lead nothing
-	Looks   float64         `json:"late_looks"` // part of its looks at the clock at which the worst of them was 100 ms late
-	Start   float64         `json:"start_s"`    // until all served
-	Roles   map[string]Role `json:"roles"`
-	Changes Changes         `json:"changes"`
-	Units   Units           `json:"units"`
-	Peak    Peak            `json:"peak"`
-	Clients map[string]int  `json:"clients"` // the real ones
-	Targets []Target        `json:"targets"`
-	Notes   []string        `json:"notes,omitempty"`
-}
-
-// Role is what one machine of a role used and met, a second: the mean over those of the role, and the most at any.
+	Nodes         int    `json:"nodes"`
+	RealNodes     int    `json:"real"`
+	InvalidReason string `json:"void"` // why the figures are invalid; "" if they are valid
+	// Settled reports whether all nodes had applied the list and over 99% followed a leader before the measurement.
+	Settled bool `json:"settled"`
+	// MaxDelayMS and LateSampleRatio are maxima over the coordinator and the worker processes of ordinary nodes: the
+	// delay in milliseconds, and the fraction of the delay samples above 100 ms.
+	MaxDelayMS      float64         `json:"late_ms"`
+	LateSampleRatio float64         `json:"late_looks"`
+	StartupSeconds  float64         `json:"start_s"` // time until all nodes served
+	Roles           map[string]Role `json:"roles"`
+	Changes         ChangeLatency   `json:"changes"`
+	Units           UnitUsage       `json:"units"`
+	Peak            Peak            `json:"peak"`
+	Clients         map[string]int  `json:"clients"` // outcomes of the sessions of real clients
+	Targets         []Target        `json:"targets"`
+	Notes           []string        `json:"notes,omitempty"`
+}
+
+// Role holds the resource usage and the traffic of one node of a role: the mean over the nodes of the role, and the
+// maximum of any of them. Rates are per second.
 type Role struct {
-	Machines  int              `json:"machines"`
-	CPU       float64          `json:"cores"`
-	MostCPU   float64          `json:"most_cores"` // of a process: hollow nodes that share one count as its mean
-	Live      float64          `json:"live_mb"`    // in use after a collection; 0 where it was not looked at
-	Resident  float64          `json:"resident_mb"`
-	MostMB    float64          `json:"most_resident_mb"`
-	Files     float64          `json:"descriptors"`
-	In        flow             `json:"in"`   // from other nodes
-	Out       flow             `json:"out"`  // to them
-	List      flow             `json:"list"` // from the list service; for that itself, to all
-	Lost      int64            `json:"lost"` // words that came and were not looked at
-	Counters  map[string]int64 `json:"counters,omitempty"`
-	Processes int              `json:"processes"`
-}
-
-// Changes tells from when a change was made until it was in force, in seconds.
-type Changes struct {
-	Made  int     `json:"made"`
-	Half  float64 `json:"half"`  // at half of the nodes, in the mean of the changes
-	Most  float64 `json:"p99"`   // at 99 in 100, at the worst of the changes
-	All   float64 `json:"all"`   // at all, at the worst of the changes that got there
-	Never int     `json:"never"` // nodes and changes that did not meet, with time enough
-}
-
-// Peak is the wave that a return brings: the most words that came in any second after it over the mean before, at the receiver where that is
-// the most. A mean under ten counts as ten. At the list service calls are held against the mean of calls and lists.
+	Nodes         int              `json:"machines"`
+	CPU           float64          `json:"cores"`
+	MaxCPU        float64          `json:"most_cores"` // emulated nodes that share a process count as its mean
+	LiveMB        float64          `json:"live_mb"`    // in use after a garbage collection; 0 if not measured
+	ResidentMB    float64          `json:"resident_mb"`
+	MaxResidentMB float64          `json:"most_resident_mb"`
+	Descriptors   float64          `json:"descriptors"`
+	In            flow             `json:"in"`   // received from other nodes
+	Out           flow             `json:"out"`  // sent to other nodes
+	List          flow             `json:"list"` // received from the list service
+	Dropped       int64            `json:"lost"` // messages received but not processed
+	Counters      map[string]int64 `json:"counters,omitempty"`
+	Processes     int              `json:"processes"`
+}
+
+// ChangeLatency summarizes the seconds between making a list change and its application at the nodes.
+type ChangeLatency struct {
+	Count   int     `json:"made"`
+	Median  float64 `json:"half"`  // at half of the nodes, mean of the changes
+	P99     float64 `json:"p99"`   // at 99% of the nodes, maximum of the changes
+	Max     float64 `json:"all"`   // at the last node that applied it, maximum of the changes
+	Missing int     `json:"never"` // pairs of node and change where the change was not applied in time
+}
+
+// Peak is the load peak after the end of an outage, or after the failure of the leader: the most messages that a
+// receiver got in any second after that time, divided by the mean before it, at the receiver with the highest ratio. A
+// mean below ten counts as ten. At the list service, calls are compared with the mean of calls and list notifications.
 type Peak struct {
-	Times float64 `json:"times"`
+	Ratio float64 `json:"times"`
 	Role  string  `json:"role"`
 	Node  int     `json:"node"` // -1 for the list service
 }
 
-// Units tells of what all nodes together may take.
-type Units struct {
-	Kind    string  `json:"kind"`
-	Whole   int     `json:"whole"` // in any second
-	Taken   int64   `json:"taken"`
-	Refused int64   `json:"refused"`
-	Most    int     `json:"most"`      // in any second
-	Gap     float64 `json:"gap_p99_s"` // longest time in which a busy node was granted nothing, 99 in 100 of them
-	GapMost float64 `json:"gap_most_s"`
+// UnitUsage compares the units taken by all nodes with their common limit.
+type UnitUsage struct {
+	Kind         string  `json:"kind"`
+	Limit        int     `json:"whole"` // in any second
+	Taken        int64   `json:"taken"`
+	Refused      int64   `json:"refused"`
+	MaxPerSecond int     `json:"most"`      // in any second
+	GapP99       float64 `json:"gap_p99_s"` // 99th percentile over busy nodes of the longest time without a grant
+	MaxGap       float64 `json:"gap_most_s"`
 }
 
-// Target is what control may cost, and what it did.
+// Target compares a figure of the control plane with its limit.
 type Target struct {
-	What   string  `json:"what"`
-	Got    float64 `json:"got"`
-	Limit  float64 `json:"limit"`
-	Holds  bool    `json:"holds"`
-	Factor float64 `json:"factor"` // got over limit
+	Name  string  `json:"what"`
+	Value float64 `json:"got"`
+	Limit float64 `json:"limit"`
+	Met   bool    `json:"holds"`
+	Ratio float64 `json:"factor"` // value divided by limit
 }
 
-// Holds tells that every target holds with the greatest size.
-func (r *Result) Holds() bool {
-	return !slices.ContainsFunc(r.Fleets[len(r.Fleets)-1].Targets, func(t Target) bool { return !t.Holds })
+// TargetsMet reports whether the largest fleet met every target.
+func (r *Result) TargetsMet() bool {
+	return !slices.ContainsFunc(r.Fleets[len(r.Fleets)-1].Targets, func(t Target) bool { return !t.Met })
 }
 
-// Void tells why the run says nothing; "" where it does.
-func (r *Result) Void() string {
+// InvalidReason returns why a run is invalid, or "" if all fleets gave valid results.
+func (r *Result) InvalidReason() string {
 	for _, f := range r.Fleets {
-		if f.Void != "" {
-			return fmt.Sprintf("%d nodes: %s", f.Nodes, f.Void)
+		if f.InvalidReason != "" {
+			return fmt.Sprintf("%d nodes: %s", f.Nodes, f.InvalidReason)
 		}
 	}
 	return ""
 }
 
-// Run plays all sizes, one after the other.
+// Run measures fleets of all sizes, one after the other.
 func Run(o Options) (*Result, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
@@ -190,613 +197,645 @@
 	if o.Log == nil {
 		o.Log = io.Discard
 	}
-	most := o.Nodes[len(o.Nodes)-1]
-	if err := process.RaiseDescriptorLimit(2*most + 1000); err != nil {
+	largest := o.Nodes[len(o.Nodes)-1]
+	if err := process.RaiseDescriptorLimit(2*largest + 1000); err != nil {
 		return nil, err
 	}
-	r := &Result{Scenario: o.Scenario, Seed: o.Seed, Control: o.Control, For: o.For.Seconds()}
-	for _, n := range o.Nodes {
-		f := newFleet(o, n)
-		got, err := f.play()
+	result := &Result{
+		Scenario: o.Scenario, Seed: o.Seed, ControlNodes: o.ControlNodes, DurationSeconds: o.Duration.Seconds()}
+	for _, size := range o.Nodes {
+		f := newFleet(o, size)
+		counted, err := f.run()
 		if err != nil {
 			return nil, err
 		}
-		r.Fleets = append(r.Fleets, got)
+		result.Fleets = append(result.Fleets, counted)
 	}
-	r.Slopes = r.slopes()
-	return r, nil
+	result.Slopes = result.slopes()
+	return result, nil
 }
 
 const (
-	servers     = 30
-	clientsEach = 10 // at a real node
-	unitsEach   = 4  // a second, of what all nodes together may take
-	alone       = 8  // nodes that are asked first whether they lead: each has a process of its own, so that what that costs is counted alone
-	// lateMost is how late any process of the run may be before the run says nothing: half of the silence after which a node takes who leads
-	// for gone. lateLooks is the part of its looks that may be late at all.
-	lateMost  = 500 // ms
-	lateLooks = 0.01
+	serverCount        = 30
+	clientsPerRealNode = 10
+	unitsPerNode       = 4 // common limit of all nodes, in units per second and node
+	// candidateCount is the number of first nodes in the leader ranking. Each runs in a separate process, so that the
+	// cost of leading is measured separately.
+	candidateCount = 8
+	// maxDelayMS is the maximum delay in milliseconds of any process of a valid run: half of the silence after which a
+	// node considers the leader lost. maxLateSampleRatio is the fraction of the delay samples that may be late.
+	maxDelayMS         = 500
+	maxLateSampleRatio = 0.01
 )
 
-// fleet is one size.
+// fleet coordinates the measurement at one size.
 type fleet struct {
-	o        Options
-	n        int
-	seen     *Fleet
-	starter  *process.Starter
-	place    place
-	ports    []net.PacketConn // held, so that another run beside this one takes others
-	relay    *emulator.DatagramNetwork
-	links    *links
-	shaped   [Zones][Zones]emulator.Direction // of the real nodes' datagrams, as the links are
-	list     *proc
-	parts    []*proc // of hollow nodes
-	alone    map[int]bool
-	gone     map[int]bool // nodes that do not come back
-	reals    []*realNode
-	template map[string]any
-
-	mu      sync.Mutex
-	servers []*emulator.Server
-	named   int
-	version int64 // of the list
-	made    map[int64]time.Time
-	force   map[int64]map[int]time.Duration // by version and node, since it was made, or since the node came back if that was later
-	back    map[int]time.Time               // when nodes came back
-	units   map[int64]int
-	states  map[*proc]*state
-	faults  []string
-	clock   lateness
-	over    chan struct{}
-	clients clients
-}
-
-// proc is a process of hollow nodes, or the list service's.
-type proc struct {
-	role    string
-	numbers []int
-	cmd     *exec.Cmd
-	in      *json.Encoder
-	reports chan report
-	dead    chan struct{}
-	killed  bool // by the scenario
-}
-
-func newFleet(o Options, n int) *fleet {
-	return &fleet{o: o, n: n, seen: &Fleet{Nodes: n, Real: o.Real, Roles: map[string]Role{}}, alone: map[int]bool{}, gone: map[int]bool{},
-		links: newLinks(Links{Zone: 250 * time.Microsecond, Region: time.Millisecond, Regions: 40 * time.Millisecond, Lose: 0.001}),
-		made:  map[int64]time.Time{}, force: map[int64]map[int]time.Duration{}, back: map[int]time.Time{}, units: map[int64]int{}, states: map[*proc]*state{}, over: make(chan struct{})}
-}
-
-func (f *fleet) say(format string, args ...any) {
-	fmt.Fprintf(f.o.Log, "%d nodes: %s\n", f.n, fmt.Sprintf(format, args...))
-}
-
-func (f *fleet) fault(format string, args ...any) {
+	options             Options
+	size                int
+	result              *Fleet
+	starter             *process.Starter
+	topology            topology
+	reservedPorts       []net.PacketConn // kept open so that a concurrent run uses other ports
+	relay               *emulator.DatagramNetwork
+	links               *links
+	realNodeLinks       [Zones][Zones]emulator.Direction // links of the datagrams of real nodes
+	list                *workerProcess                   // the list service
+	nodeWorkers         []*workerProcess                 // processes of emulated nodes
+	hasDedicatedProcess map[int]bool                     // nodes that share their process with no other node
+	killed              map[int]bool                     // nodes that are killed and not revived
+	realNodes           []*realNode
+	configTemplate      map[string]any
+
+	mu               sync.Mutex
+	servers          []*emulator.Server
+	lastServerNumber int
+	listVersion      int64               // version of the endpoint list
+	changedAt        map[int64]time.Time // by version
+	// applied holds, by version and node, the delay from the change, or from the return of the node if that was later.
+	applied      map[int64]map[int]time.Duration
+	returnedAt   map[int]time.Time // by node: time of its last return
+	unitCounts   map[int64]int     // units taken by time bucket
+	leaderStates map[*workerProcess]*leaderState
+	failures     []string
+	delays       delayMonitor
+	done         chan struct{}
+	clientStats  clientStats
+}
+
+// workerProcess is a process of emulated nodes, or that of the list service, as seen by the coordinator.
+type workerProcess struct {
+	role     string
+	nodes    []int
+	cmd      *exec.Cmd
+	commands *json.Encoder
+	reports  chan report
+	exited   chan struct{}
+	killed   bool // killed by the scenario
+}
+
+func newFleet(options Options, size int) *fleet {
+	return &fleet{
+		options: options, size: size,
+		result:              &Fleet{Nodes: size, RealNodes: options.RealNodes, Roles: map[string]Role{}},
+		hasDedicatedProcess: map[int]bool{}, killed: map[int]bool{},
+		links: newLinks(Links{WithinZone: 250 * time.Microsecond, WithinRegion: time.Millisecond,
+			BetweenRegions: 40 * time.Millisecond, LossRate: 0.001}),
+		changedAt: map[int64]time.Time{}, applied: map[int64]map[int]time.Duration{},
+		returnedAt: map[int]time.Time{}, unitCounts: map[int64]int{},
+		leaderStates: map[*workerProcess]*leaderState{}, done: make(chan struct{})}
+}
+
+// logf writes a progress message.
+func (f *fleet) logf(format string, args ...any) {
+	fmt.Fprintf(f.options.Log, "%d nodes: %s\n", f.size, fmt.Sprintf(format, args...))
+}
+
+// failf records a failure, which makes the run invalid. It keeps the first ten.
+func (f *fleet) failf(format string, args ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.faults) < 10 {
-		f.faults = append(f.faults, fmt.Sprintf(format, args...))
+	if len(f.failures) < 10 {
+		f.failures = append(f.failures, fmt.Sprintf(format, args...))
 	}
 }
 
-// realNumbers are those of the real nodes: the last ones that lead nothing.
-func (f *fleet) realNumbers() (numbers []int) {
-	first := f.leaders()
-	for i := f.n - 1; len(numbers) < f.o.Real; i-- {
-		if !slices.Contains(first, i) {
-			numbers = append(numbers, i)
+// realNodeIndexes returns the indexes of the real nodes: the last ones that are not leader candidates.
+func (f *fleet) realNodeIndexes() (indexes []int) {
+	candidates := f.leaderCandidates()
+	for i := f.size - 1; len(indexes) < f.options.RealNodes; i-- {
+		if !slices.Contains(candidates, i) {
+			indexes = append(indexes, i)
 		}
 	}
-	return numbers
+	return indexes
 }
 
-// play plays one size.
-func (f *fleet) play() (*Fleet, error) {
+// run measures one size.
+func (f *fleet) run() (*Fleet, error) {
 	f.starter = process.NewStarter()
 	defer f.starter.Close()
-	defer f.end()
-	if err := f.open(); err != nil {
+	defer f.shutDown()
+	if err := f.prepare(); err != nil {
 		return nil, err
 	}
-	begun := time.Now()
+	started := time.Now()
 	if err := f.start(); err != nil {
 		return nil, err
 	}
-	f.seen.Start = time.Since(begun).Seconds()
-	f.say("all serve after %.1f s", f.seen.Start)
+	f.result.StartupSeconds = time.Since(started).Seconds()
+	f.logf("all nodes serve after %.1f s", f.result.StartupSeconds)
 	f.settle()
-	f.span(f.happen)
-	f.finish()
-	return f.seen, nil
+	f.measure(f.runScenario)
+	f.evaluate()
+	return f.result, nil
 }
 
-// open brings up all but the nodes.
-func (f *fleet) open() (err error) {
-	f.place = place{Nodes: f.n, Control: f.o.Control}
-	for _, port := range []*int{&f.place.Port, &f.place.Children} {
-		held, err := net.ListenPacket("udp4", "127.0.0.1:0")
+// prepare starts the list service, the servers and the worker processes, but no nodes.
+func (f *fleet) prepare() (err error) {
+	f.topology = topology{Nodes: f.size, ControlNodes: f.options.ControlNodes}
+	for _, port := range []*int{&f.topology.PeerPort, &f.topology.ChildPort} {
+		conn, err := net.ListenPacket("udp4", "127.0.0.1:0")
 		if err != nil {
 			return err
 		}
-		f.ports, *port = append(f.ports, held), held.LocalAddr().(*net.UDPAddr).Port
+		f.reservedPorts, *port = append(f.reservedPorts, conn), conn.LocalAddr().(*net.UDPAddr).Port
 	}
-	if f.relay, err = emulator.NewDatagramNetwork(f.place.first()+f.o.Control, f.o.Seed); err != nil {
+	if f.relay, err = emulator.NewDatagramNetwork(
+		f.topology.firstControlNode()+f.options.ControlNodes, f.options.Seed); err != nil {
 		return err
 	}
-	numbers := f.realNumbers()
-	f.shape()
-	var free emulator.Direction // hollow nodes shape their own
+	realIndexes := f.realNodeIndexes()
+	f.updateRealNodeLinks()
+	var unshaped emulator.Direction // emulated nodes shape their own datagrams
 	f.relay.SharedDirection = func(from, to int) *emulator.Direction {
-		if slices.Contains(numbers, from) {
-			return &f.shaped[zoneOf(from)][zoneOf(to)]
+		if slices.Contains(realIndexes, from) {
+			return &f.realNodeLinks[zoneOf(from)][zoneOf(to)]
 		}
-		return &free
+		return &unshaped
 	}
-	relays := map[int]string{}
-	for _, n := range numbers {
-		relays[n] = f.relay.Addr(n)
+	realNodeAddrs := map[int]string{}
+	for _, n := range realIndexes {
+		realNodeAddrs[n] = f.relay.Addr(n)
 	}
-	for _, i := range f.place.all() {
-		if port := f.place.Port; !slices.Contains(numbers, i) {
-			if f.o.Control > 0 && f.place.is(i) >= 0 { // what real nodes reach of it
-				port = f.place.Children
+	for _, i := range f.topology.allNodes() {
+		if port := f.topology.PeerPort; !slices.Contains(realIndexes, i) {
+			// Real nodes contact control nodes at their port for ordinary nodes.
+			if f.options.ControlNodes > 0 && f.topology.controlIndex(i) >= 0 {
+				port = f.topology.ChildPort
 			}
-			f.relay.SetNodeAddr(i, hollowAddr(i, port), false)
+			f.relay.SetNodeAddr(i, emulatedAddr(i, port), false)
 		}
 	}
-	f.list = &proc{role: "list"}
-	if err := f.spawn(f.list, setup{Role: "list", Seed: f.o.Seed, Relays: relays, Links: f.links.Links}); err != nil {
+	f.list = &workerProcess{role: "list"}
+	if err := f.spawn(f.list, setup{
+		Role: "list", Seed: f.options.Seed, RealNodeAddrs: realNodeAddrs, Links: f.links.Links}); err != nil {
 		return err
 	}
-	r, err := f.list.next(doSetup, 20*time.Second)
+	reply, err := f.list.awaitReport(actionSetup, 20*time.Second)
 	if err != nil {
 		return err
 	}
-	for range servers {
+	for range serverCount {
 		if err := f.addServer(time.Time{}); err != nil {
 			return err
 		}
 	}
 	var addrs []string
-	for i := range f.n {
-		if f.o.Control > 0 { // nobody knows all
+	for i := range f.size {
+		if f.options.ControlNodes > 0 { // ordinary nodes have the addresses of control nodes only
 			break
 		}
-		if addrs = append(addrs, relays[i]); addrs[i] == "" {
-			addrs[i] = hollowAddr(i, f.place.Port).String()
+		if addrs = append(addrs, realNodeAddrs[i]); addrs[i] == "" {
+			addrs[i] = emulatedAddr(i, f.topology.PeerPort).String()
 		}
 	}
-	f.template = f.config(r.Addr, addrs)
-	config, err := json.Marshal(f.template)
+	f.configTemplate = f.config(reply.Addr, addrs)
+	config, err := json.Marshal(f.configTemplate)
 	if err != nil {
 		return err
 	}
 	groups := [][]int{}
-	for _, n := range f.leaders() {
-		f.alone[n] = true
+	for _, n := range f.leaderCandidates() {
+		f.hasDedicatedProcess[n] = true
 		groups = append(groups, []int{n})
 	}
-	var all []int
+	var emulated []int
 	for z := range Zones {
-		for i := z; i < f.n; i += Zones {
-			if !f.alone[i] && !slices.Contains(numbers, i) {
-				all = append(all, i)
+		for i := z; i < f.size; i += Zones {
+			if !f.hasDedicatedProcess[i] && !slices.Contains(realIndexes, i) {
+				emulated = append(emulated, i)
 			}
 		}
 	}
-	for parts := (len(all) + perProcess - 1) / perProcess; parts > 0; parts-- { // of like size
-		k := (len(all) + parts - 1) / parts
-		groups = append(groups, all[:k])
-		all = all[k:]
-	}
-	for _, g := range groups {
-		p := &proc{role: "node", numbers: g}
-		if f.alone[g[0]] {
-			p.role = "spare"
-			if f.o.Control > 0 {
-				p.role = "control"
+	// Splits the remaining nodes into groups of similar size.
+	for workers := (len(emulated) + nodesPerWorker - 1) / nodesPerWorker; workers > 0; workers-- {
+		count := (len(emulated) + workers - 1) / workers
+		groups = append(groups, emulated[:count])
+		emulated = emulated[count:]
+	}
+	for _, group := range groups {
+		proc := &workerProcess{role: "node", nodes: group}
+		if f.hasDedicatedProcess[group[0]] {
+			proc.role = "spare"
+			if f.options.ControlNodes > 0 {
+				proc.role = "control"
 			}
-			if g[0] == f.leaders()[0] {
-				p.role = "leader"
+			if group[0] == f.leaderCandidates()[0] {
+				proc.role = "leader"
 			}
 		}
-		f.parts = append(f.parts, p)
-		s := setup{Role: "hollow", Seed: f.o.Seed, Place: f.place, Relays: relays, Numbers: g, Config: config, Links: f.links.Links}
-		if g[0] < f.n { // control machines have no clients
-			s.Traffic = f.traffic()
+		f.nodeWorkers = append(f.nodeWorkers, proc)
+		setup := setup{Role: "hollow", Seed: f.options.Seed, Topology: f.topology, RealNodeAddrs: realNodeAddrs,
+			Nodes: group, Config: config, Links: f.links.Links}
+		if group[0] < f.size { // control nodes have no clients
+			setup.Traffic = f.traffic()
 		}
-		if err := f.spawn(p, s); err != nil {
+		if err := f.spawn(proc, setup); err != nil {
 			return err
 		}
 	}
-	for _, n := range numbers {
-		f.reals = append(f.reals, &realNode{f: f, number: n})
+	for _, n := range realIndexes {
+		f.realNodes = append(f.realNodes, &realNode{fleet: f, index: n})
 	}
 	return nil
 }
 
-// leaders gives the numbers of who is asked first whether it leads, the first one first: each has a process of its own.
-func (f *fleet) leaders() []int {
-	if f.o.Control == 0 {
-		return leaders(f.n)[:alone]
+// leaderCandidates returns the nodes that may become leader, first choice first. Each runs in a separate process.
+func (f *fleet) leaderCandidates() []int {
+	if f.options.ControlNodes == 0 {
+		return leaderRanking(f.size)[:candidateCount]
 	}
-	all := leaders(f.o.Control)
-	for i := range all {
-		all[i] += f.place.first()
+	candidates := leaderRanking(f.options.ControlNodes)
+	for i := range candidates {
+		candidates[i] += f.topology.firstControlNode()
 	}
-	return all
+	return candidates
 }
 
-// traffic asks for three fifths of the whole, half of it at a tenth of the nodes, which get the most of it from others.
+// traffic returns a load of three fifths of the common limit, half of it at a tenth of the nodes. These need three
+// times their own share, so that most of their units are lent by others.
 func (f *fleet) traffic() traffic {
-	return traffic{Kind: "retries_per_s", Calm: 0.6 * unitsEach * 0.5 / 0.9, Busy: 0.6 * unitsEach * 0.5 / 0.1, Every: 10}
-}
-
-// config is that of any node, but for what is its own.
-func (f *fleet) config(list string, addrs []string) map[string]any {
-	return map[string]any{"discovery": list, "limits": map[string]any{"cores": 1, "sockets": 4096},
-		"known": f.listed(),
-		"settings": map[string]any{"balancers": f.n, "tick_us": 5000, "membership_mode": "pushed",
-			"ceilings": map[string]any{"dial_timeout_us": 200000, "keepalive_us": 5000000, "max_open": 2000, "max_retry_after_us": 1000000,
-				"may_probe": false, "retry_after": true, "send_cap": 3, "peers": true},
-			"classes":     []any{map[string]any{"name": "c", "effect": "read_like", "deadline_us": 2_000_000}},
-			"family_info": map[string]any{"message_aim_us": []float64{300000}, "tenant_quota_connections": []float64{float64(8 * f.n)}},
-			"report":      map[string]any{"fields": []string{"x0"}, "via": "probe"},
-			"rules":       map[string]any{"cold_from": 0.2, "cold_us": 6_000_000, "fall_multiple": 3, "fall_us": 1_000_000}},
+	return traffic{Kind: "retries_per_s", BaseRate: 0.6 * unitsPerNode * 0.5 / 0.9,
+		BusyRate: 0.6 * unitsPerNode * 0.5 / 0.1, BusyInterval: 10}
+}
+
+// config returns the node configuration without the parts that differ between nodes.
+func (f *fleet) config(listAddr string, addrs []string) map[string]any {
+	return map[string]any{"discovery": listAddr, "limits": map[string]any{"cores": 1, "sockets": 4096},
+		"known": f.listSnapshot(),
+		"settings": map[string]any{"balancers": f.size, "tick_us": 5000, "membership_mode": "pushed",
+			"ceilings": map[string]any{"dial_timeout_us": 200000, "keepalive_us": 5000000, "max_open": 2000,
+				"max_retry_after_us": 1000000, "may_probe": false, "retry_after": true, "send_cap": 3, "peers": true},
+			"classes": []any{map[string]any{"name": "c", "effect": "read_like", "deadline_us": 2_000_000}},
+			"family_info": map[string]any{"message_aim_us": []float64{300000},
+				"tenant_quota_connections": []float64{float64(8 * f.size)}},
+			"report": map[string]any{"fields": []string{"x0"}, "via": "probe"},
+			"rules": map[string]any{"cold_from": 0.2, "cold_us": 6_000_000, "fall_multiple": 3,
+				"fall_us": 1_000_000}},
 		"peers":   map[string]any{"nodes": addrs},
-		"budgets": map[string]any{"lease": true, "floor": 0.5, "retries_per_s": unitsEach * f.n}}
+		"budgets": map[string]any{"lease": true, "floor": 0.5, "retries_per_s": unitsPerNode * f.size}}
 }
 
-// procs are all processes but the real nodes'.
-func (f *fleet) procs() []*proc { return append([]*proc{f.list}, f.parts...) }
+// workerProcesses returns all processes except those of the real nodes.
+func (f *fleet) workerProcesses() []*workerProcess {
+	return append([]*workerProcess{f.list}, f.nodeWorkers...)
+}
 
-// spawn starts a part.
-func (f *fleet) spawn(p *proc, s setup) error {
-	p.cmd = exec.Command(f.o.Binary, "lab", "scale-part")
+// spawn starts a worker process and sends it its setup.
+func (f *fleet) spawn(p *workerProcess, setup setup) error {
+	p.cmd = exec.Command(f.options.Binary, "lab", "scale-part")
 	p.cmd.Env = []string{"PATH=" + os.Getenv("PATH")}
 	p.cmd.Stderr = os.Stderr
-	in, err := p.cmd.StdinPipe()
+	stdin, err := p.cmd.StdinPipe()
 	if err != nil {
 		return err
 	}
-	out, err := p.cmd.StdoutPipe()
+	stdout, err := p.cmd.StdoutPipe()
 	if err != nil {
 		return err
 	}
 	if err := f.starter.StartCommand(p.cmd); err != nil {
 		return err
 	}
-	p.in, p.reports, p.dead = json.NewEncoder(in), make(chan report, 100), make(chan struct{})
+	p.commands, p.reports, p.exited = json.NewEncoder(stdin), make(chan report, 100), make(chan struct{})
 	go func() {
-		dec := json.NewDecoder(out)
+		decoder := json.NewDecoder(stdout)
 		for {
 			var r report
-			if err := dec.Decode(&r); err != nil {
+			if err := decoder.Decode(&r); err != nil {
 				break
 			}
 			if r.Err != "" {
-				f.fault("a process of %s nodes: %s", p.role, r.Err)
+				f.failf("worker process for role %s: %s", p.role, r.Err)
 			}
-			if r.Did == "sample" {
-				f.sampled(p, r)
+			if r.Action == "sample" {
+				f.recordSample(p, r)
 				continue
 			}
 			select {
 			case p.reports <- r:
-			default: // nobody waits for it
+			default: // drops a report that no caller awaits
 			}
 		}
 		p.cmd.Wait()
-		close(p.dead)
+		close(p.exited)
 	}()
-	return p.in.Encode(order{Do: doSetup, Setup: &s})
+	return p.commands.Encode(command{Action: actionSetup, Setup: &setup})
 }
 
-// next waits for a report.
-func (p *proc) next(did string, within time.Duration) (report, error) {
-	end := time.After(within)
+// awaitReport waits for the report on an action.
+func (p *workerProcess) awaitReport(action string, timeout time.Duration) (report, error) {
+	deadline := time.After(timeout)
 	for {
 		select {
 		case r := <-p.reports:
 			if r.Err != "" {
 				return r, errors.New(r.Err)
-			} else if r.Did == did {
+			} else if r.Action == action {
 				return r, nil
 			}
-		case <-p.dead:
-			return report{}, fmt.Errorf("a process of %s nodes ended before %s", p.role, did)
-		case <-end:
-			return report{}, fmt.Errorf("a process of %s nodes did not %s within %v", p.role, did, within)
+		case <-p.exited:
+			return report{}, fmt.Errorf("worker process for role %s exited before its report on %s", p.role, action)
+		case <-deadline:
+			return report{}, fmt.Errorf("worker process for role %s did not report on %s within %v",
+				p.role, action, timeout)
 		}
 	}
 }
 
-// sampled takes in what a part tells all the time.
-func (f *fleet) sampled(p *proc, r report) {
+// recordSample adds a periodic report of a worker process to the figures.
+func (f *fleet) recordSample(p *workerProcess, r report) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, c := range r.Force {
-		f.inForce(c.Node, c.From, c.To, time.Unix(0, c.At))
+	for _, change := range r.Changes {
+		f.recordApplied(change.Node, change.From, change.To, time.Unix(0, change.At))
 	}
-	if u := r.Units; u != nil {
-		for i, n := range u.N {
-			f.units[u.At+int64(i)] += int(n)
+	if units := r.Units; units != nil {
+		for i, count := range units.Counts {
+			f.unitCounts[units.FirstBucket+int64(i)] += int(count)
 		}
 	}
-	f.states[p] = r.State
+	f.leaderStates[p] = r.State
 }
 
-// inForce notes that versions are in force at a node. f.mu is held.
-func (f *fleet) inForce(node int, from, to int64, at time.Time) {
-	for v := from + 1; v <= to; v++ {
-		made, ok := f.made[v]
+// recordApplied records that a node applied the list versions above from and up to to. The caller holds f.mu.
+func (f *fleet) recordApplied(node int, from, to int64, appliedAt time.Time) {
+	for version := from + 1; version <= to; version++ {
+		changedAt, ok := f.changedAt[version]
 		if !ok {
 			continue
 		}
-		if back := f.back[node]; back.After(made) {
-			made = back
+		if returnedAt := f.returnedAt[node]; returnedAt.After(changedAt) {
+			changedAt = returnedAt
 		}
-		if f.force[v] == nil {
-			f.force[v] = map[int]time.Duration{}
+		if f.applied[version] == nil {
+			f.applied[version] = map[int]time.Duration{}
 		}
-		if _, ok := f.force[v][node]; !ok {
-			f.force[v][node] = max(at.Sub(made), 0)
+		if _, ok := f.applied[version][node]; !ok {
+			f.applied[version][node] = max(appliedAt.Sub(changedAt), 0)
 		}
 	}
 }
 
-// put has the list service make a change.
-func (f *fleet) put(e emulator.Endpoint) {
+// updateList changes an endpoint at the list service.
+func (f *fleet) updateList(endpoint emulator.Endpoint) {
 	f.mu.Lock()
-	f.version++
-	f.made[f.version] = time.Now()
+	f.listVersion++
+	f.changedAt[f.listVersion] = time.Now()
 	f.mu.Unlock()
-	f.list.in.Encode(order{Do: doPut, Entry: &e})
+	f.list.commands.Encode(command{Action: actionUpdateList, Endpoint: &endpoint})
 }
 
-func (f *fleet) addServer(started time.Time) error {
+// addServer starts a server and adds it to the endpoint list. A zero startedAt means that it is already warm.
+func (f *fleet) addServer(startedAt time.Time) error {
 	f.mu.Lock()
-	f.named++
-	id := "s-" + strconv.Itoa(f.named)
+	f.lastServerNumber++
+	id := "s-" + strconv.Itoa(f.lastServerNumber)
 	f.mu.Unlock()
 	config := emulator.ServerConfig{
-		Capacity: 8 * f.n / servers, SlowStartMinCapacity: 0.2, SlowStartWindow: 6 * time.Second,
+		Capacity: 8 * f.size / serverCount, SlowStartMinCapacity: 0.2, SlowStartWindow: 6 * time.Second,
 	}
-	s := emulator.NewServer(id, config, started, f.clients.received)
-	var free emulator.Direction
-	if err := s.Open(func(int) (in, out *emulator.Direction) { return &free, &free }); err != nil {
+	server := emulator.NewServer(id, config, startedAt, f.clientStats.observe)
+	var unshaped emulator.Direction
+	if err := server.Open(func(int) (in, out *emulator.Direction) { return &unshaped, &unshaped }); err != nil {
 		return err
 	}
 	f.mu.Lock()
-	f.servers = append(f.servers, s)
+	f.servers = append(f.servers, server)
 	f.mu.Unlock()
-	e := emulator.Endpoint{ID: id, Addr: s.Addr(), State: "up", Weight: 1}
-	if !started.IsZero() {
-		e.Started = started.UnixMilli()
+	endpoint := emulator.Endpoint{ID: id, Addr: server.Addr(), State: "up", Weight: 1}
+	if !startedAt.IsZero() {
+		endpoint.Started = startedAt.UnixMilli()
 	}
-	f.put(e)
+	f.updateList(endpoint)
 	return nil
 }
 
-// start starts all nodes and returns once they serve.
+// start starts all nodes and returns when they serve.
 func (f *fleet) start() error {
-	for _, p := range f.parts {
-		p.in.Encode(order{Do: doStart})
-	}
-	var wait sync.WaitGroup
-	errs := make(chan error, len(f.parts)+len(f.reals))
-	for _, p := range f.parts {
-		wait.Go(func() {
-			if _, err := p.next(doStart, 2*time.Minute); err != nil {
+	for _, p := range f.nodeWorkers {
+		p.commands.Encode(command{Action: actionStart})
+	}
+	var group sync.WaitGroup
+	errs := make(chan error, len(f.nodeWorkers)+len(f.realNodes))
+	for _, p := range f.nodeWorkers {
+		group.Go(func() {
+			if _, err := p.awaitReport(actionStart, 2*time.Minute); err != nil {
 				errs <- err
 			}
 		})
 	}
-	for _, n := range f.reals {
-		wait.Go(func() {
-			if err := f.startReal(n); err != nil {
+	for _, n := range f.realNodes {
+		group.Go(func() {
+			if err := f.startRealNode(n); err != nil {
 				errs <- err
 			}
 		})
 	}
-	wait.Wait()
+	group.Wait()
 	close(errs)
 	return <-errs
 }
 
-// changeEvery is the time between two changes of the list on an ordinary day: 18,000 a day.
-const changeEvery = 4800 * time.Millisecond
+// changeInterval is the time between two changes of the list on an ordinary day, which has 18,000.
+const changeInterval = 4800 * time.Millisecond
 
-// changes has the list change until the end, by turns: a server starts, the oldest drains, it goes.
-func (f *fleet) changes() {
-	var leaving *emulator.Server
+// changeList changes the list until the run is over, in turn: it adds a server, drains the oldest, and removes that.
+func (f *fleet) changeList() {
+	var draining *emulator.Server
 	next := time.Now()
 	for i := 0; ; i++ {
 		if !f.sleep(time.Until(next)) {
 			return
 		}
-		next = next.Add(changeEvery)
+		next = next.Add(changeInterval)
 		f.mu.Lock()
 		oldest := f.servers[0]
 		f.mu.Unlock()
 		switch i % 3 {
 		case 0:
 			if err := f.addServer(time.Now()); err != nil {
-				f.fault("a server does not start: %v", err)
+				f.failf("starting a server: %v", err)
 			}
 		case 1:
-			leaving = oldest
+			draining = oldest
 			f.mu.Lock()
 			f.servers = f.servers[1:]
 			f.mu.Unlock()
-			f.put(emulator.Endpoint{ID: leaving.ID, Addr: leaving.Addr(), State: "draining", Weight: 1})
-			time.AfterFunc(time.Second, leaving.Drain)
+			f.updateList(emulator.Endpoint{ID: draining.ID, Addr: draining.Addr(), State: "draining", Weight: 1})
+			time.AfterFunc(time.Second, draining.Drain)
 		case 2:
-			f.put(emulator.Endpoint{ID: leaving.ID, Addr: leaving.Addr(), State: "removed", Weight: 1})
-			leaving.Stop()
+			f.updateList(emulator.Endpoint{ID: draining.ID, Addr: draining.Addr(), State: "removed", Weight: 1})
+			draining.Stop()
 		}
 	}
 }
 
-// sleep waits, and tells whether the run still goes on.
+// sleep waits for d, and reports whether the run goes on.
 func (f *fleet) sleep(d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return true
-	case <-f.over:
+	case <-f.done:
 		return false
 	}
 }
 
-// everywhere waits until a version is at all nodes, and tells whether it came to that.
-func (f *fleet) everywhere(version int64, within time.Duration) bool {
-	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+// awaitApplied waits until all nodes have applied a list version, and reports whether they did so within the timeout.
+func (f *fleet) awaitApplied(version int64, timeout time.Duration) bool {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
 		f.mu.Lock()
-		n := len(f.force[version])
+		applied := len(f.applied[version])
 		f.mu.Unlock()
-		if n >= f.n+f.o.Control-len(f.gone) {
+		if applied >= f.size+f.options.ControlNodes-len(f.killed) {
 			return true
 		}
 	}
 	return false
 }
 
-// followed tells how many nodes ask each keeper, and how many of them know that most do.
-func (f *fleet) followed() (keepers map[int]int, by int) {
-	keepers = map[int]int{}
+// leaderCounts returns the number of emulated nodes by leader, and the number of nodes whose leader has a quorum.
+func (f *fleet) leaderCounts() (nodesByLeader map[int]int, inQuorum int) {
+	nodesByLeader = map[int]int{}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, s := range f.states {
-		for k, n := range s.Keepers {
-			keepers[k] += n
+	for _, state := range f.leaderStates {
+		for leader, nodes := range state.NodesByLeader {
+			nodesByLeader[leader] += nodes
 		}
-		by += s.Followed
+		inQuorum += state.InQuorum
 	}
-	return keepers, by
+	return nodesByLeader, inQuorum
 }
 
-// whom tells whom nodes ask.
-func whom(keepers map[int]int) string {
-	asked, most, nodes := 0, -1, 0
-	for _, k := range slices.Sorted(maps.Keys(keepers)) {
-		if n := keepers[k]; k >= 0 {
-			if asked++; n > nodes {
-				most, nodes = k, n
+// describeLeaders returns a summary of the number of nodes by leader.
+func describeLeaders(nodesByLeader map[int]int) string {
+	leaders, mostFollowed, followers := 0, -1, 0
+	for _, leader := range slices.Sorted(maps.Keys(nodesByLeader)) {
+		if nodes := nodesByLeader[leader]; leader >= 0 {
+			if leaders++; nodes > followers {
+				mostFollowed, followers = leader, nodes
 			}
 		}
 	}
-	return fmt.Sprintf("%d nodes ask nobody, the others %d keepers, most (%d) number %d", keepers[-1], asked, nodes, most)
+	return fmt.Sprintf("%d nodes ask nobody, the others %d keepers, most (%d) number %d",
+		nodesByLeader[-1], leaders, followers, mostFollowed)
 }
 
-// settle waits until all follow the list, and until what the start brought about is over.
+// settle waits until all nodes have applied the list and follow a leader, and until the effects of the start are over.
 func (f *fleet) settle() {
 	if err := f.addServer(time.Now()); err != nil {
-		f.fault("a server does not start: %v", err)
+		f.failf("starting a server: %v", err)
 	}
-	if f.seen.Settled = f.everywhere(f.version, 45*time.Second); !f.seen.Settled {
+	if f.result.Settled = f.awaitApplied(f.listVersion, 45*time.Second); !f.result.Settled {
 		f.mu.Lock()
-		n := len(f.force[f.version])
+		applied := len(f.applied[f.listVersion])
 		f.mu.Unlock()
-		f.seen.Notes = append(f.seen.Notes, fmt.Sprintf("the first change was at %d nodes after 45 s", n))
-		f.say("%s", f.seen.Notes[len(f.seen.Notes)-1])
+		f.result.Notes = append(f.result.Notes, fmt.Sprintf("the first change was at %d nodes after 45 s", applied))
+		f.logf("%s", f.result.Notes[len(f.result.Notes)-1])
 	}
 	for i := 0; i < 40; i++ {
-		if _, by := f.followed(); by > (f.n+f.o.Control-f.o.Real)*99/100 {
+		if _, inQuorum := f.leaderCounts(); inQuorum > (f.size+f.options.ControlNodes-f.options.RealNodes)*99/100 {
 			break
 		}
 		time.Sleep(250 * time.Millisecond)
 	}
-	keepers, by := f.followed()
-	f.seen.Settled = f.seen.Settled && by > (f.n+f.o.Control-f.o.Real)*99/100
-	f.say("%s; %d know that most do as they do", whom(keepers), by)
+	nodesByLeader, inQuorum := f.leaderCounts()
+	f.result.Settled = f.result.Settled && inQuorum > (f.size+f.options.ControlNodes-f.options.RealNodes)*99/100
+	f.logf("%s; %d nodes have a leader with a quorum", describeLeaders(nodesByLeader), inQuorum)
 	resident := 0.0
-	for _, p := range f.procs() {
+	for _, p := range f.workerProcesses() {
 		resident += process.ReadUsage(strconv.Itoa(p.cmd.Process.Pid)).Resident
 	}
-	if f.say("%.0f MB resident", resident/1e6); resident > memory()/2 {
-		f.fault("%.0f MB are in use, over half of the machine's memory", resident/1e6)
+	if f.logf("%.0f MB resident", resident/1e6); resident > totalMemory()/2 {
+		f.failf("worker processes use %.0f MB, more than half of the machine's memory", resident/1e6)
 	}
-	go f.serveClients()
-	time.Sleep(6 * time.Second) // a promise binds for less
+	go f.startClients()
+	time.Sleep(6 * time.Second) // longer than the term of any lease
 }
 
-// span counts over what is done.
-func (f *fleet) span(do func()) {
+// measure runs the scenario and collects the figures of all processes over its duration.
+func (f *fleet) measure(scenario func()) {
 	f.mu.Lock()
-	clear(f.made)
-	clear(f.units)
+	clear(f.changedAt)
+	clear(f.unitCounts)
 	f.mu.Unlock()
-	f.clock.begin()
-	go f.clock.watch(f.over)
-	for _, p := range f.procs() {
-		p.in.Encode(order{Do: doSpan})
+	f.delays.reset()
+	go f.delays.run(f.done)
+	for _, p := range f.workerProcesses() {
+		p.commands.Encode(command{Action: actionBeginMeasurement})
 	}
-	for _, n := range f.reals {
-		n.begin()
+	for _, n := range f.realNodes {
+		n.beginMeasurement()
 	}
-	go f.changes()
-	do()
-	for _, n := range f.reals {
-		n.finish(&f.seen.Roles)
+	go f.changeList()
+	scenario()
+	for _, n := range f.realNodes {
+		n.endMeasurement(&f.result.Roles)
 	}
-	for _, p := range f.procs() {
-		p.in.Encode(order{Do: doEnd})
+	for _, p := range f.workerProcesses() {
+		p.commands.Encode(command{Action: actionEndMeasurement})
 	}
-	roles := map[string][]*span{}
-	for _, p := range f.procs() {
+	byRole := map[string][]*measurement{}
+	for _, p := range f.workerProcesses() {
 		if p.killed {
 			continue
 		}
-		r, err := p.next(doEnd, 30*time.Second)
+		reply, err := p.awaitReport(actionEndMeasurement, 30*time.Second)
 		if err != nil {
-			f.fault("%v", err)
+			f.failf("%v", err)
 			continue
 		}
-		roles[p.role] = append(roles[p.role], r.Span)
-		if p.role == "node" { // the others' own work may be too much for them
-			f.seen.Late, f.seen.Looks = max(f.seen.Late, r.Span.Late), max(f.seen.Looks, round(r.Span.Looks))
+		byRole[p.role] = append(byRole[p.role], reply.Measurement)
+		if p.role == "node" { // the processes of other roles may be delayed by the work that is measured
+			f.result.MaxDelayMS, f.result.LateSampleRatio = max(f.result.MaxDelayMS, reply.Measurement.MaxDelayMS),
+				max(f.result.LateSampleRatio, round(reply.Measurement.LateSampleRatio))
 		}
 	}
-	most, looks := f.clock.was()
-	f.seen.Late, f.seen.Looks = max(f.seen.Late, most), max(f.seen.Looks, round(looks))
-	close(f.over)
-	for role, spans := range roles {
-		f.seen.Roles[role] = sum(spans)
-		for _, s := range spans {
-			if s.Peak > f.seen.Peak.Times {
-				f.seen.Peak = Peak{round(s.Peak), role, s.PeakAt}
+	maxDelay, lateRatio := f.delays.results()
+	f.result.MaxDelayMS, f.result.LateSampleRatio =
+		max(f.result.MaxDelayMS, maxDelay), max(f.result.LateSampleRatio, round(lateRatio))
+	close(f.done)
+	for role, measurements := range byRole {
+		f.result.Roles[role] = aggregate(measurements)
+		for _, m := range measurements {
+			if m.PeakRatio > f.result.Peak.Ratio {
+				f.result.Peak = Peak{round(m.PeakRatio), role, m.PeakNode}
 			}
 		}
 	}
 	var gaps []float64
-	warned := map[string]int{}
-	for _, s := range roles["node"] {
-		gaps = append(gaps, s.Gaps...)
-	}
-	for _, all := range roles {
-		for _, s := range all {
-			f.seen.Units.Taken += s.Taken
-			f.seen.Units.Refused += s.Refused
-			for what, n := range s.Warned {
-				warned[what] += n
+	warnings := map[string]int{}
+	for _, m := range byRole["node"] {
+		gaps = append(gaps, m.GrantGaps...)
+	}
+	for _, measurements := range byRole {
+		for _, m := range measurements {
+			f.result.Units.Taken += m.Taken
+			f.result.Units.Refused += m.Refused
+			for message, count := range m.Warnings {
+				warnings[message] += count
 			}
 		}
 	}
-	for _, what := range slices.Sorted(maps.Keys(warned)) {
-		f.seen.Notes = append(f.seen.Notes, fmt.Sprintf("%d times logged: %s", warned[what], what))
+	for _, message := range slices.Sorted(maps.Keys(warnings)) {
+		f.result.Notes = append(f.result.Notes, fmt.Sprintf("%d times logged: %s", warnings[message], message))
 	}
 	slices.Sort(gaps)
 	if len(gaps) > 0 {
-		f.seen.Units.Gap, f.seen.Units.GapMost = round(gaps[at(len(gaps), 0.99)]), round(gaps[len(gaps)-1])
+		f.result.Units.GapP99, f.result.Units.MaxGap =
+			round(gaps[quantileIndex(len(gaps), 0.99)]), round(gaps[len(gaps)-1])
 	}
 }
 
-// at is the place of a part of n in order.
-func at(n int, part float64) int { return max(int(math.Ceil(part*float64(n)))-1, 0) }
+// quantileIndex returns the index of a quantile among count sorted values.
+func quantileIndex(count int, fraction float64) int {
+	return max(int(math.Ceil(fraction*float64(count)))-1, 0)
+}
 
+// round rounds x to four significant digits.
 func round(x float64) float64 {
 	if x == 0 {
 		return 0
@@ -805,181 +844,191 @@
 	return math.Round(x*digits) / digits
 }
 
-// sum gives a role what its processes have counted.
-func sum(spans []*span) Role {
-	r := Role{Processes: len(spans), Counters: map[string]int64{}}
-	var cpu, live, resident, files float64
-	for _, s := range spans {
-		r.Machines += s.Nodes
-		cpu, live, resident, files = cpu+s.CPU/s.Seconds, live+s.Live, resident+s.Resident, files+float64(s.Files)
-		r.MostCPU = max(r.MostCPU, s.CPU/s.Seconds/float64(s.Nodes))
-		r.MostMB = max(r.MostMB, s.Resident/float64(s.Nodes)/1e6)
-		in, out, list := s.Flows["in"], s.Flows["out"], s.Flows["list"]
-		r.In.merge(in)
-		r.Out.merge(out)
-		r.List.merge(list)
-		for k, v := range s.Counters {
+// aggregate combines the measurements of the processes of a role.
+func aggregate(measurements []*measurement) Role {
+	role := Role{Processes: len(measurements), Counters: map[string]int64{}}
+	var cpu, live, resident, descriptors float64
+	for _, m := range measurements {
+		role.Nodes += m.Nodes
+		cpu, live, resident, descriptors =
+			cpu+m.CPU/m.Seconds, live+m.LiveBytes, resident+m.ResidentBytes, descriptors+float64(m.Descriptors)
+		role.MaxCPU = max(role.MaxCPU, m.CPU/m.Seconds/float64(m.Nodes))
+		role.MaxResidentMB = max(role.MaxResidentMB, m.ResidentBytes/float64(m.Nodes)/1e6)
+		in, out, list := m.Flows["in"], m.Flows["out"], m.Flows["list"]
+		role.In.merge(in)
+		role.Out.merge(out)
+		role.List.merge(list)
+		for k, v := range m.Counters {
 			if v != 0 {
-				r.Counters[k] += v
+				role.Counters[k] += v
 			}
 		}
 	}
-	n := float64(r.Machines)
-	r.CPU, r.Live, r.Resident, r.Files = round(cpu/n), round(live/n/1e6), round(resident/n/1e6), round(files/n)
-	r.MostCPU, r.MostMB = round(r.MostCPU), round(r.MostMB)
-	for _, f := range []*flow{&r.In, &r.Out, &r.List} {
-		*f = flow{round(f.Words / n), round(f.Bytes / n), round(f.MostWords), round(f.MostBytes)}
+	nodes := float64(role.Nodes)
+	role.CPU, role.LiveMB, role.ResidentMB, role.Descriptors =
+		round(cpu/nodes), round(live/nodes/1e6), round(resident/nodes/1e6), round(descriptors/nodes)
+	role.MaxCPU, role.MaxResidentMB = round(role.MaxCPU), round(role.MaxResidentMB)
+	for _, mean := range []*flow{&role.In, &role.Out, &role.List} {
+		*mean = flow{round(mean.Messages / nodes), round(mean.Bytes / nodes),
+			round(mean.MaxMessages), round(mean.MaxBytes)}
 	}
-	r.Lost = r.Counters["peer_dropped"] + r.Counters["overruns"]
-	return r
+	role.Dropped = role.Counters["peer_dropped"] + role.Counters["overruns"]
+	return role
 }
 
-// finish judges.
-func (f *fleet) finish() {
-	keepers, _ := f.followed()
+// evaluate calculates the results and compares them with the targets.
+func (f *fleet) evaluate() {
+	nodesByLeader, _ := f.leaderCounts()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s := f.seen
+	result := f.result
 	now := time.Now()
-	halves := 0.0
-	for v, made := range f.made {
-		got := slices.Sorted(maps.Values(f.force[v]))
-		if len(got) < f.n+f.o.Control && now.Sub(made) < inForceWithin { // it may come yet
+	medianSum := 0.0
+	for version, changedAt := range f.changedAt {
+		delays := slices.Sorted(maps.Values(f.applied[version]))
+		if len(delays) < f.size+f.options.ControlNodes && now.Sub(changedAt) < maxChangeDelay {
+			// Some nodes may still apply it in time.
 			continue
 		}
-		s.Changes.Made++
-		for _, i := range f.place.all() {
-			if _, ok := f.force[v][i]; !ok && !f.gone[i] && now.Sub(f.back[i]) >= inForceWithin {
-				s.Changes.Never++
+		result.Changes.Count++
+		for _, i := range f.topology.allNodes() {
+			if _, ok := f.applied[version][i]; !ok && !f.killed[i] && now.Sub(f.returnedAt[i]) >= maxChangeDelay {
+				result.Changes.Missing++
 			}
 		}
-		if len(got) > 0 {
-			halves += got[at(len(got), 0.5)].Seconds()
-			s.Changes.Most = max(s.Changes.Most, round(got[at(len(got), 0.99)].Seconds()))
-			s.Changes.All = max(s.Changes.All, round(got[len(got)-1].Seconds()))
+		if len(delays) > 0 {
+			medianSum += delays[quantileIndex(len(delays), 0.5)].Seconds()
+			result.Changes.P99 = max(result.Changes.P99, round(delays[quantileIndex(len(delays), 0.99)].Seconds()))
+			result.Changes.Max = max(result.Changes.Max, round(delays[len(delays)-1].Seconds()))
 		}
 	}
-	if s.Changes.Made > 0 {
-		s.Changes.Half = round(halves / float64(s.Changes.Made))
-	}
-	s.Units.Kind, s.Units.Whole = f.traffic().Kind, unitsEach*f.n
-	s.Units.Most = mostInASecond(f.units)
-	s.Clients = f.clients.counts()
-	s.Targets = f.targets()
-	elsewhere := 0
-	for k, n := range keepers {
-		if f.o.Control == 0 && k >= 0 && !f.alone[k] {
-			elsewhere += n
+	if result.Changes.Count > 0 {
+		result.Changes.Median = round(medianSum / float64(result.Changes.Count))
+	}
+	result.Units.Kind, result.Units.Limit = f.traffic().Kind, unitsPerNode*f.size
+	result.Units.MaxPerSecond = maxUnitsPerSecond(f.unitCounts)
+	result.Clients = f.clientStats.snapshot()
+	result.Targets = f.targets()
+	sharedLeaderFollowers := 0
+	for leader, nodes := range nodesByLeader {
+		if f.options.ControlNodes == 0 && leader >= 0 && !f.hasDedicatedProcess[leader] {
+			sharedLeaderFollowers += nodes
 		}
 	}
-	s.Notes = append(s.Notes, "at the end "+whom(keepers))
+	result.Notes = append(result.Notes, "at the end "+describeLeaders(nodesByLeader))
 	switch {
-	case len(f.faults) > 0:
-		s.Void = f.faults[0]
-	case s.Late > lateMost || s.Looks > lateLooks:
-		s.Void = fmt.Sprintf("the run was %.0f ms late at most, and over %v at %g of its looks", s.Late, lateLook, s.Looks)
-	case elsewhere > f.n/100: // what that costs is counted at nodes that lead nothing
-		s.Notes = append(s.Notes, fmt.Sprintf("%d nodes ask one that shares its process", elsewhere))
+	case len(f.failures) > 0:
+		result.InvalidReason = f.failures[0]
+	case result.MaxDelayMS > maxDelayMS || result.LateSampleRatio > maxLateSampleRatio:
+		result.InvalidReason = fmt.Sprintf("the run was %.0f ms late at most, and over %v at %g of its looks",
+			result.MaxDelayMS, lateThreshold, result.LateSampleRatio)
+	case sharedLeaderFollowers > f.size/100: // the cost of that leader is counted as that of ordinary nodes
+		result.Notes = append(result.Notes,
+			fmt.Sprintf("%d nodes ask one that shares its process", sharedLeaderFollowers))
 	}
 }
 
-// mostInASecond gives the most units in any second: of whole steps alone, so that none is counted that is not in it.
-func mostInASecond(steps map[int64]int) (most int) {
-	if len(steps) == 0 {
+// maxUnitsPerSecond returns the maximum number of units in any second. A second consists of complete buckets, so that
+// no unit outside it is counted.
+func maxUnitsPerSecond(buckets map[int64]int) (maximum int) {
+	if len(buckets) == 0 {
 		return 0
 	}
 	first, last := int64(math.MaxInt64), int64(0)
-	for i := range steps {
+	for i := range buckets {
 		first, last = min(first, i), max(last, i)
 	}
 	sum := 0
 	for i := first; i <= last; i++ {
-		sum += steps[i] - steps[i-1000/unitEvery]
-		most = max(most, sum)
+		sum += buckets[i] - buckets[i-1000/unitBucketMS]
+		maximum = max(maximum, sum)
 	}
-	return most
+	return maximum
 }
 
-// What control may cost at the size that is coming, in the operators' words.
+// Limits for the control plane at the planned size, as given by the operators.
 const (
-	nodeCores     = 0.022
-	controlCores  = 1
-	nodeMB        = 128
-	nodeBytes     = 14_000
-	inForceWithin = 14 * time.Second
-	withoutGrants = 4 // s
-	peakTimes     = 3
+	maxNodeCores       = 0.022
+	maxControlCores    = 1
+	maxNodeMB          = 128
+	maxNodeBytes       = 14_000
+	maxChangeDelay     = 14 * time.Second
+	maxGrantGapSeconds = 4
+	maxPeakRatio       = 3
 )
 
+// targets compares the figures with their limits.
 func (f *fleet) targets() (all []Target) {
-	s := f.seen
-	add := func(what string, got, limit float64) {
-		t := Target{What: what, Got: round(got), Limit: limit, Holds: got <= limit}
+	result := f.result
+	add := func(name string, value, limit float64) {
+		target := Target{Name: name, Value: round(value), Limit: limit, Met: value <= limit}
 		if limit > 0 {
-			t.Factor = round(got / limit)
+			target.Ratio = round(value / limit)
 		}
-		all = append(all, t)
+		all = append(all, target)
 	}
 	for _, role := range []string{"node", "leader", "spare", "control"} {
-		r, ok := s.Roles[role]
+		r, ok := result.Roles[role]
 		if !ok {
 			continue
-		} else if f.o.Control > 0 && role != "node" {
-			add(role+", a control machine: cores", r.MostCPU, controlCores)
+		} else if f.options.ControlNodes > 0 && role != "node" {
+			add(role+", a control machine: cores", r.MaxCPU, maxControlCores)
 			continue
 		}
-		add(role+": cores", r.MostCPU, nodeCores)
-		memory := r.Live
-		if role != "node" { // it has the process for itself
-			memory = r.Resident
+		add(role+": cores", r.MaxCPU, maxNodeCores)
+		memoryMB := r.LiveMB
+		if role != "node" { // the node is alone in its process
+			memoryMB = r.ResidentMB
 		}
-		add(role+": MB", memory, nodeMB)
-		add(role+": bytes a second from and to other nodes and the list service", r.In.MostBytes+r.Out.MostBytes+r.List.MostBytes, nodeBytes)
+		add(role+": MB", memoryMB, maxNodeMB)
+		add(role+": bytes a second from and to other nodes and the list service",
+			r.In.MaxBytes+r.Out.MaxBytes+r.List.MaxBytes, maxNodeBytes)
 	}
-	if r, ok := s.Roles["real"]; ok {
-		add("real node: MB", r.MostMB, nodeMB)
+	if r, ok := result.Roles["real"]; ok {
+		add("real node: MB", r.MaxResidentMB, maxNodeMB)
 	}
-	add("change in force everywhere: seconds", s.Changes.All, inForceWithin.Seconds())
-	add("change never in force: nodes and changes", float64(s.Changes.Never), 0)
-	switch f.o.Scenario {
+	add("change in force everywhere: seconds", result.Changes.Max, maxChangeDelay.Seconds())
+	add("change never in force: nodes and changes", float64(result.Changes.Missing), 0)
+	switch f.options.Scenario {
 	case "zone", "region":
-		add("most words in a second after the return over the mean, at any receiver", s.Peak.Times, peakTimes)
-	case "steady", "restarts", "leader": // who leads is not to be worse there than where it dies
-		add("busy nodes without a grant, 99 in 100: seconds", s.Units.Gap, withoutGrants)
+		add("most words in a second after the return over the mean, at any receiver", result.Peak.Ratio, maxPeakRatio)
+	case "steady", "restarts", "leader": // grants must not be delayed longer by a working leader than by its failure
+		add("busy nodes without a grant, 99 in 100: seconds", result.Units.GapP99, maxGrantGapSeconds)
 	}
-	add("units taken over the whole in any second", math.Max(0, float64(s.Units.Most-s.Units.Whole)), 0)
+	add("units taken over the whole in any second",
+		math.Max(0, float64(result.Units.MaxPerSecond-result.Units.Limit)), 0)
 	return all
 }
 
-// end ends all that runs.
-func (f *fleet) end() {
+// shutDown stops all processes and servers and closes the sockets.
+func (f *fleet) shutDown() {
 	select {
-	case <-f.over:
+	case <-f.done:
 	default:
-		close(f.over)
+		close(f.done)
 	}
-	for _, p := range f.procs() {
-		if p == nil || p.dead == nil {
+	for _, p := range f.workerProcesses() {
+		if p == nil || p.exited == nil {
 			continue
 		}
 		p.cmd.Process.Kill()
-		<-p.dead
+		<-p.exited
 	}
-	for _, n := range f.reals {
-		if n.p != nil {
-			n.p.Kill()
+	for _, n := range f.realNodes {
+		if n.proc != nil {
+			n.proc.Kill()
 		}
 	}
 	f.mu.Lock()
-	all := slices.Clone(f.servers)
+	servers := slices.Clone(f.servers)
 	f.mu.Unlock()
-	for _, s := range all {
-		s.Stop()
+	for _, server := range servers {
+		server.Stop()
 	}
 	if f.relay != nil {
 		f.relay.Close()
 	}
-	for _, p := range f.ports {
+	for _, p := range f.reservedPorts {
 		p.Close()
 	}
 }
