--- a/cmd/brassmux/clientstream_test.go
+++ b/cmd/brassmux/clientstream_test.go
@@ -12,107 +12,107 @@
 	"time"
 )
 
-// clientStream is clients that come one after the other, stay, and send messages. An answer that is wrong and an end
-// that is not the client's own are faults.
+// clientStream opens client connections at an interval and keeps them open while each client sends lines. It records a
+// failure if an answer is wrong or if a connection is closed by the other side.
 type clientStream struct {
-	addr    string
-	stop    chan struct{}
-	clients sync.WaitGroup
-	opened  atomic.Int64
-	lines   atomic.Int64 // that were answered
+	addr          string
+	stop          chan struct{}
+	clients       sync.WaitGroup
+	openedClients atomic.Int64
+	answeredLines atomic.Int64 // lines with a correct answer
 
-	mu     sync.Mutex
-	faults []string
+	mu       sync.Mutex
+	failures []string
 }
 
-// startClientStream starts a stream with a new client after each interval.
+// startClientStream starts a stream that opens a new client connection after each interval.
 func startClientStream(addr string, interval time.Duration) *clientStream {
-	s := &clientStream{addr: addr, stop: make(chan struct{})}
-	s.clients.Go(func() {
-		for i := 0; ; i++ {
+	stream := &clientStream{addr: addr, stop: make(chan struct{})}
+	stream.clients.Go(func() {
+		for number := 0; ; number++ {
 			select {
-			case <-s.stop:
+			case <-stream.stop:
 				return
 			case <-time.After(interval):
-				s.clients.Go(func() { s.runClient(i) })
+				stream.clients.Go(func() { stream.runClient(number) })
 			}
 		}
 	})
-	return s
+	return stream
 }
 
-func (s *clientStream) addFault(format string, args ...any) {
+func (s *clientStream) addFailure(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.faults = append(s.faults, fmt.Sprintf(format, args...))
+	s.failures = append(s.failures, fmt.Sprintf(format, args...))
 }
 
-// ignoreFaults drops the faults that match.
-func (s *clientStream) ignoreFaults(match func(fault string) bool) {
+// ignoreFailures removes the recorded failures that match.
+func (s *clientStream) ignoreFailures(match func(failure string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.faults = slices.DeleteFunc(s.faults, match)
+	s.failures = slices.DeleteFunc(s.failures, match)
 }
 
 // runClient opens a connection and sends lines until the stream stops.
-func (s *clientStream) runClient(i int) {
+func (s *clientStream) runClient(number int) {
 	conn, err := net.Dial("tcp", s.addr)
 	if err != nil {
-		s.addFault("client %d: %v", i, err)
+		s.addFailure("client %d: %v", number, err)
 		return
 	}
 	defer conn.Close()
-	c := &streamClient{stream: s, number: i, conn: conn, in: bufio.NewReader(conn)}
-	if !c.exchange(fmt.Sprintf("OPEN id-%d key-%d c=chat,d=2000\r\n", i, i), "UP r\r\n") {
+	client := &streamClient{stream: s, number: number, conn: conn, reader: bufio.NewReader(conn)}
+	if !client.exchange(fmt.Sprintf("OPEN id-%d key-%d c=chat,d=2000\r\n", number, number), "UP r\r\n") {
 		return
 	}
-	s.opened.Add(1)
-	for n := 0; ; n++ {
+	s.openedClients.Add(1)
+	for sequence := 0; ; sequence++ {
 		select {
 		case <-s.stop:
 			return
 		default:
 		}
-		line := fmt.Sprintf("%d of %d\r\n", n, i)
-		if !c.exchange(line, line) {
+		line := fmt.Sprintf("%d of %d\r\n", sequence, number)
+		if !client.exchange(line, line) {
 			return
 		}
-		s.lines.Add(1)
+		s.answeredLines.Add(1)
 	}
 }
 
-// streamClient is one client of a stream.
+// streamClient is one client connection of a stream.
 type streamClient struct {
 	stream *clientStream
 	number int
 	conn   net.Conn
-	in     *bufio.Reader
+	reader *bufio.Reader
 }
 
-// exchange sends a line in two parts and reports whether the answer is the one that is wanted.
+// exchange sends a line in two parts and reports whether the answer equals want.
 func (c *streamClient) exchange(line, want string) bool {
 	c.conn.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(c.conn, line[:len(line)/2])
 	io.WriteString(c.conn, line[len(line)/2:])
-	got, err := c.in.ReadString('\n')
+	got, err := c.reader.ReadString('\n')
 	if got != want {
-		c.stream.addFault("client %d: got %q, %v, want %q", c.number, got, err, want)
+		c.stream.addFailure("client %d: got answer %q, error %v, want %q", c.number, got, err, want)
 	}
 	return got == want
 }
 
-// maxFaultsShown bounds the faults of a stream that a test prints.
-const maxFaultsShown = 5
+// maxFailuresShown limits the number of failures that a stream prints.
+const maxFailuresShown = 5
 
-// end stops the stream and fails the test for each fault.
-func (s *clientStream) end(t *testing.T) {
+// stopAndReport stops the stream and fails the test if the stream has recorded failures.
+func (s *clientStream) stopAndReport(t *testing.T) {
 	t.Helper()
 	close(s.stop)
 	s.clients.Wait()
-	for _, fault := range s.faults[:min(len(s.faults), maxFaultsShown)] {
-		t.Error(fault)
+	for _, failure := range s.failures[:min(len(s.failures), maxFailuresShown)] {
+		t.Error(failure)
 	}
-	if len(s.faults) > maxFaultsShown {
-		t.Errorf("and %d more", len(s.faults)-maxFaultsShown)
+	if len(s.failures) > maxFailuresShown {
+		t.Errorf("and %d more failures", len(s.failures)-maxFailuresShown)
 	}
 }
--- a/cmd/brassmux/link_test.go
+++ b/cmd/brassmux/link_test.go
@@ -11,29 +11,30 @@
 	"testing"
 )
 
-// The platform loads a library of its own into the process, which only the dynamic linker does. A static program would
-// run without it. The test builds as the deploy file says, into another directory, and reads the result.
-func TestTheBuiltProgramIsLinkedDynamically(t *testing.T) {
+// The platform preloads a library into the process, which requires the dynamic linker. A statically linked program
+// would run without the library. The test runs the build command of the deploy file with another output directory and
+// inspects the binary.
+func TestBuildLinksDynamically(t *testing.T) {
 	deploy, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	value := func(key string) string {
-		found := regexp.MustCompile(`(?m)^` + key + ` = "(.*)"$`).FindSubmatch(deploy)
-		if found == nil {
-			t.Fatalf("the deploy file names no %s", key)
+	deployValue := func(key string) string {
+		match := regexp.MustCompile(`(?m)^` + key + ` = "(.*)"$`).FindSubmatch(deploy)
+		if match == nil {
+			t.Fatalf("the deploy file has no key %s", key)
 		}
-		return string(found[1])
+		return string(match[1])
 	}
-	if run := value("run"); !strings.HasPrefix(run, "exec ") {
-		t.Errorf("run = %q leaves a shell before the program", run)
+	if run := deployValue("run"); !strings.HasPrefix(run, "exec ") {
+		t.Errorf("run = %q does not replace the shell by the program, want an exec command", run)
 	}
-	build := value("build")
+	build := deployValue("build")
 	readme, err := os.ReadFile("../../README.md")
 	if err != nil {
 		t.Fatal(err)
 	} else if !strings.Contains(string(readme), "\n    "+build+"\n") {
-		t.Errorf("the README builds otherwise than %q", build)
+		t.Errorf("the README does not have the build command %q", build)
 	}
 	bin := t.TempDir()
 	cmd := exec.Command("/bin/sh", "-c", strings.ReplaceAll(build, "bin/", bin+"/"))
@@ -47,13 +48,13 @@
 	}
 	defer program.Close()
 	if !slices.ContainsFunc(program.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }) {
-		t.Error("the program asks for no dynamic linker")
+		t.Error("the program has no PT_INTERP segment, so it is linked statically")
 	}
 	libraries, err := program.ImportedLibraries()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !slices.ContainsFunc(libraries, func(l string) bool { return strings.HasPrefix(l, "libc.so") }) {
-		t.Errorf("linked against %v, not the C library", libraries)
+	if !slices.ContainsFunc(libraries, func(library string) bool { return strings.HasPrefix(library, "libc.so") }) {
+		t.Errorf("the program is linked against %v, want libc.so", libraries)
 	}
 }
--- a/cmd/brassmux/main.go
+++ b/cmd/brassmux/main.go
@@ -1,4 +1,5 @@
-// Command brassmux is one node, and what belongs to running it; see brassmux --help.
+// Command brassmux runs a node of the balancer, checks its configuration and measures it in the laboratory; see
+// brassmux --help.
 package main
 
 import (
--- a/cmd/brassmux/main_test.go
+++ b/cmd/brassmux/main_test.go
@@ -9,47 +9,52 @@
 	"time"
 )
 
-func TestAnInvalidConfigurationFailsTheStart(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// The program must exit with code 1 and name the fault if it cannot read its configuration or open its address.
+func TestStartRejectsInvalidConfiguration(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer listener.Close()
 	for config, want := range map[string]string{
-		"{":                                    "LB_CONFIG: ",
-		`{"listen":"here"}`:                    "config: ",
-		minimalConfig("127.0.0.1:0", 3):        "config: limits.sockets: 3 is out of range",
-		minimalConfig(l.Addr().String(), 1024): "address already in use",
-		`{"limits":{"memory_mb":"much"}}`:      "limits.memory_mb",
+		"{":                             "LB_CONFIG: ",
+		`{"listen":"here"}`:             "config: ",
+		minimalConfig("127.0.0.1:0", 3): "config: limits.sockets: 3 is out of range",
+		minimalConfig(listener.Addr().String(), 1024): "address already in use",
+		`{"limits":{"memory_mb":"much"}}`:             "limits.memory_mb",
 	} {
 		cmd, _ := newCommand(t, "", config)
 		out, err := cmd.CombinedOutput()
-		if exit, ok := err.(*exec.ExitError); !ok || exit.ExitCode() != 1 || !strings.Contains(string(out), want) {
+		if exitErr, ok := err.(*exec.ExitError); !ok || exitErr.ExitCode() != 1 ||
+			!strings.Contains(string(out), want) {
 			t.Errorf("%s: got %v, %q, want %q", config, err, out, want)
 		}
 	}
 }
 
-func TestAnUnknownLogLevelFailsTheStart(t *testing.T) {
+// A mistyped log level must not start a node with another level.
+func TestStartRejectsUnknownLogLevel(t *testing.T) {
 	cmd, _ := newCommand(t, "export LB_LOG=loud;", minimalConfig("127.0.0.1:0", 1024))
 	out, err := cmd.CombinedOutput()
-	if exit, ok := err.(*exec.ExitError); !ok || exit.ExitCode() != 1 || !strings.Contains(string(out), "LB_LOG") {
-		t.Errorf("got %v, %q", err, out)
+	if exitErr, ok := err.(*exec.ExitError); !ok || exitErr.ExitCode() != 1 ||
+		!strings.Contains(string(out), "LB_LOG") {
+		t.Errorf("got %v, %q, want exit code 1 and a message that names LB_LOG", err, out)
 	}
 }
 
-func TestCountersAndStop(t *testing.T) {
+// SIGUSR1 must log the counters, and SIGTERM must end the program with exit code 0 and the final counters.
+func TestSignalsPrintCountersAndStop(t *testing.T) {
 	p := startMinimal(t, "", 1024)
 	if err := ping(p.addr); err != nil {
 		t.Fatal(err)
 	}
 	p.Process.Signal(syscall.SIGUSR1)
-	if got := p.awaitLog("counters")["pings"]; got != 1.0 {
-		t.Errorf("counted %v pings", got)
+	if got := p.awaitMessage("counters")["pings"]; got != 1.0 {
+		t.Errorf("got %v pings, want 1", got)
 	}
 	p.Process.Signal(syscall.SIGTERM)
-	if got := p.awaitLog("stopped")["connections"]; got != 1.0 {
-		t.Errorf("counted %v connections", got)
+	if got := p.awaitMessage("stopped")["connections"]; got != 1.0 {
+		t.Errorf("got %v connections, want 1", got)
 	}
 	for p.log.Scan() {
 	}
@@ -58,9 +63,10 @@
 	}
 }
 
-// By default the signal ends a program.
-func TestAReloadBySignal(t *testing.T) {
-	// LB_DISCOVERY of the start must not hide what the file names later.
+// SIGHUP ends a program that does not handle it. Here it must reload the configuration, repeatedly, and an invalid
+// configuration must leave the node running.
+func TestHangupSignalReloadsConfiguration(t *testing.T) {
+	// LB_DISCOVERY as set at the start must not override the address in a reloaded file.
 	p := startMinimal(t, `LB_DISCOVERY=127.0.0.1:1 &&`, 1024)
 	valid := minimalConfig("127.0.0.1:0", 1024)
 	for config, want := range map[string]string{
@@ -69,39 +75,40 @@
 		minimalConfig("127.0.0.1:0", 3):                     "limits.sockets: 3",
 	} {
 		p.reload(config)
-		if got := p.awaitLog("the new configuration is rejected")["error"].(string); !strings.Contains(got, want) {
+		if got := p.awaitMessage("the new configuration is rejected")["error"].(string); !strings.Contains(got, want) {
 			t.Errorf("got %q, want %q", got, want)
 		}
 	}
-	for _, addr := range []string{"127.0.0.1:2", "127.0.0.1:3"} { // more than once
+	for _, addr := range []string{"127.0.0.1:2", "127.0.0.1:3"} { // two reloads
 		p.reload(strings.Replace(valid, "127.0.0.1:1", addr, 1))
-		if got := p.awaitLog("discovery address changed")["discovery"]; got != addr {
-			t.Errorf("the discovery service is %v", got)
+		if got := p.awaitMessage("discovery address changed")["discovery"]; got != addr {
+			t.Errorf("got discovery address %v after the reload", got)
 		}
 		if err := ping(p.addr); err != nil {
 			t.Error(err)
 		}
 	}
 	p.Process.Signal(syscall.SIGTERM)
-	p.awaitLog("stopped")
+	p.awaitMessage("stopped")
 }
 
-// The program may have fewer descriptors than its configuration says.
-func TestRunningOutOfDescriptorsIsSurvived(t *testing.T) {
+// The process limit of descriptors may be lower than the configured one. The node must report that it cannot accept
+// clients, and accept them again when descriptors are free.
+func TestNodeRecoversFromDescriptorExhaustion(t *testing.T) {
 	p := startMinimal(t, "ulimit -n 40;", 1024)
-	var open []net.Conn
+	var connections []net.Conn
 	for range 60 {
-		c, err := net.Dial("tcp", p.addr)
+		conn, err := net.Dial("tcp", p.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		open = append(open, c)
+		connections = append(connections, conn)
 	}
-	p.awaitLog("clients cannot be accepted")
-	for _, c := range open {
-		c.Close()
+	p.awaitMessage("clients cannot be accepted")
+	for _, conn := range connections {
+		conn.Close()
 	}
-	go func() { // a full pipe would block the log
+	go func() { // reads the log, because a full pipe would block the program
 		for p.log.Scan() {
 		}
 	}()
--- a/cmd/brassmux/platform_test.go
+++ b/cmd/brassmux/platform_test.go
@@ -17,40 +17,41 @@
 	"time"
 )
 
-// echoServer is a server that accepts each client and sends each of its lines back.
+// echoServer accepts every client and echoes each line that follows the request.
 type echoServer struct {
-	addr  string
-	opens atomic.Int64
+	addr     string
+	requests atomic.Int64
 }
 
 func newEchoServer(t *testing.T) *echoServer {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
-	e := &echoServer{addr: l.Addr().String()}
+	t.Cleanup(func() { listener.Close() })
+	server := &echoServer{addr: listener.Addr().String()}
 	go func() {
-		for c, err := l.Accept(); err == nil; c, err = l.Accept() {
-			go e.serve(c)
+		for conn, err := listener.Accept(); err == nil; conn, err = listener.Accept() {
+			go server.serve(conn)
 		}
 	}()
-	return e
+	return server
 }
 
-func (e *echoServer) serve(c net.Conn) {
-	defer c.Close()
-	in := bufio.NewReader(c)
-	for line, err := in.ReadString('\n'); err == nil; line, err = in.ReadString('\n') {
+func (e *echoServer) serve(conn net.Conn) {
+	defer conn.Close()
+	reader := bufio.NewReader(conn)
+	for line, err := reader.ReadString('\n'); err == nil; line, err = reader.ReadString('\n') {
 		if strings.HasPrefix(line, "OPEN ") {
-			e.opens.Add(1)
+			e.requests.Add(1)
 			line = "UP r\r\n"
 		}
-		io.WriteString(c, line)
+		io.WriteString(conn, line)
 	}
 }
 
-// platform holds the clients' listening socket and a directory, as operators' platforms do, and starts the program.
+// platform simulates the operator's platform: it owns the listening socket for clients and a directory, and starts the
+// program.
 type platform struct {
 	t          *testing.T
 	listener   *net.TCPListener
@@ -59,12 +60,12 @@
 }
 
 func newPlatform(t *testing.T) *platform {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
-	p := &platform{t: t, listener: l.(*net.TCPListener), dir: t.TempDir()}
+	t.Cleanup(func() { listener.Close() })
+	p := &platform{t: t, listener: listener.(*net.TCPListener), dir: t.TempDir()}
 	p.configPath = filepath.Join(p.dir, "config.json")
 	config := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":"127.0.0.1:1",
 		"limits":{"cores":1,"memory_mb":192,"sockets":1024},
@@ -72,27 +73,27 @@
 			{"id":"s-2","addr":%q,"zone":"a","state":"up","weight":1}]},
 		"settings":{"balancers":1,"ceilings":{"send_cap":2},
 			"classes":[{"name":"chat","effect":"read_like","deadline_us":2000000}]}}`,
-		l.Addr(), newEchoServer(t).addr, newEchoServer(t).addr)
+		listener.Addr(), newEchoServer(t).addr, newEchoServer(t).addr)
 	if err := os.WriteFile(p.configPath, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return p
 }
 
-// addr is where clients connect, whichever process serves.
+// addr returns the address to which clients connect. It is the same for all processes of the node.
 func (p *platform) addr() string { return p.listener.Addr().String() }
 
-// platformProcess is one of the node's processes.
-type platformProcess struct {
+// nodeProcess is one process of the node. During an upgrade there are two.
+type nodeProcess struct {
 	*process
 	adminAddr string
-	ended     chan error
+	exited    chan error
 	mu        sync.Mutex
-	logLines  []string // after "serving"
+	logLines  []string // lines after the message "serving"
 }
 
-// start starts a process of the node, which takes over from the one that runs.
-func (p *platform) start() *platformProcess {
+// start starts a process of the node, which takes over the connections of the running process, if any.
+func (p *platform) start() *nodeProcess {
 	p.t.Helper()
 	listener, err := p.listener.File()
 	if err != nil {
@@ -100,7 +101,7 @@
 	}
 	defer listener.Close()
 	cmd := exec.Command("/bin/sh", "-c", `exec "$0"`, os.Args[0])
-	cmd.Env = append(os.Environ(), mainVariable+"=1", "LB_CONFIG="+p.configPath, "LB_NAME=", "LB_LISTEN=",
+	cmd.Env = append(os.Environ(), runMainVariable+"=1", "LB_CONFIG="+p.configPath, "LB_NAME=", "LB_LISTEN=",
 		"LB_DISCOVERY=", "LB_ADMIN=127.0.0.1:0", "LB_LISTEN_FD=3", "TMPDIR="+p.dir)
 	cmd.ExtraFiles = []*os.File{listener}
 	log, err := cmd.StderrPipe()
@@ -110,26 +111,28 @@
 	if err := cmd.Start(); err != nil {
 		p.t.Fatal(err)
 	}
-	r := &platformProcess{process: &process{Cmd: cmd, t: p.t, log: bufio.NewScanner(log)}, ended: make(chan error, 1)}
-	r.killAfter(2 * testTimeout)
-	r.adminAddr = r.awaitLog("serving")["admin"].(string)
-	go r.collectLog()
-	return r
+	started := &nodeProcess{
+		process: &process{Cmd: cmd, t: p.t, log: bufio.NewScanner(log)}, exited: make(chan error, 1),
+	}
+	started.killAfter(2 * testTimeout)
+	started.adminAddr = started.awaitMessage("serving")["admin"].(string)
+	go started.collectLog()
+	return started
 }
 
-// collectLog reads the log up to the process's end; a full pipe would block the log.
-func (r *platformProcess) collectLog() {
-	for r.log.Scan() {
-		r.mu.Lock()
-		r.logLines = append(r.logLines, r.log.Text())
-		r.mu.Unlock()
+// collectLog reads the log until the process exits, because a full pipe would block the process.
+func (n *nodeProcess) collectLog() {
+	for n.log.Scan() {
+		n.mu.Lock()
+		n.logLines = append(n.logLines, n.log.Text())
+		n.mu.Unlock()
 	}
-	r.ended <- r.Wait()
+	n.exited <- n.Wait()
 }
 
-func (r *platformProcess) isReady() bool {
+func (n *nodeProcess) isReady() bool {
 	client := http.Client{Timeout: time.Second}
-	resp, err := client.Get("http://" + r.adminAddr + "/control/ready")
+	resp, err := client.Get("http://" + n.adminAddr + "/control/ready")
 	if err != nil {
 		return false
 	}
@@ -137,42 +140,42 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// awaitReady waits until the process is ready.
-func (r *platformProcess) awaitReady(what string) {
-	r.t.Helper()
-	waitUntil(r.t, what, r.isReady)
+// awaitReady waits until the process reports that it is ready.
+func (n *nodeProcess) awaitReady(description string) {
+	n.t.Helper()
+	waitUntil(n.t, description, n.isReady)
 }
 
-// awaitEnd waits for the process's end and returns the counters of its last log line.
-func (r *platformProcess) awaitEnd() map[string]any {
-	r.t.Helper()
+// awaitExit waits until the process exits and returns its log line "stopped", which has the final counters.
+func (n *nodeProcess) awaitExit() map[string]any {
+	n.t.Helper()
 	select {
-	case err := <-r.ended:
+	case err := <-n.exited:
 		if err != nil {
-			r.t.Error(err)
+			n.t.Error(err)
 		}
 	case <-time.After(testTimeout):
-		r.t.Fatal("the process does not end")
+		n.t.Fatal("the process did not exit")
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, text := range r.logLines {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for _, text := range n.logLines {
 		var line map[string]any
 		if json.Unmarshal([]byte(text), &line) == nil && line["msg"] == "stopped" {
 			return line
 		}
 	}
-	r.t.Fatalf("no last line in %q", r.logLines)
+	n.t.Fatalf("the log has no line \"stopped\": %q", n.logLines)
 	return nil
 }
 
-// printLog prints the log but for the lines of connections.
-func (r *platformProcess) printLog() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, line := range r.logLines {
+// printLog prints the log without the lines of ended connections.
+func (n *nodeProcess) printLog() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for _, line := range n.logLines {
 		if !strings.Contains(line, "connection ended") {
-			r.t.Log(line)
+			n.t.Log(line)
 		}
 	}
 }
--- a/cmd/brassmux/process_test.go
+++ b/cmd/brassmux/process_test.go
@@ -14,41 +14,42 @@
 	"time"
 )
 
-// testTimeout bounds the wait for what must happen.
+// testTimeout limits the wait for an expected event.
 const testTimeout = 20 * time.Second
 
-// mainVariable has a test binary run the program itself.
-const mainVariable = "BRASSMUX_TEST_MAIN"
+// runMainVariable is the environment variable that makes the test binary run main instead of the tests.
+const runMainVariable = "BRASSMUX_TEST_MAIN"
 
-// TestMain is the program itself where a test starts it so.
+// TestMain runs the program instead of the tests if runMainVariable is set, so that tests can start it as a process.
 func TestMain(m *testing.M) {
-	if os.Getenv(mainVariable) != "" {
+	if os.Getenv(runMainVariable) != "" {
 		main()
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// newCommand prepares a start of the program with a configuration, by a shell that may set limits first.
-func newCommand(t *testing.T, shell, config string) (cmd *exec.Cmd, configPath string) {
+// newCommand returns a command that starts the program with a configuration. shellPrefix is shell code that runs before
+// the program, for example to set limits.
+func newCommand(t *testing.T, shellPrefix, config string) (cmd *exec.Cmd, configPath string) {
 	t.Helper()
 	configPath = filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(configPath, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cmd = exec.Command("/bin/sh", "-c", shell+` exec "$0"`, os.Args[0])
-	cmd.Env = append(os.Environ(), mainVariable+"=1", "LB_CONFIG="+configPath,
+	cmd = exec.Command("/bin/sh", "-c", shellPrefix+` exec "$0"`, os.Args[0])
+	cmd.Env = append(os.Environ(), runMainVariable+"=1", "LB_CONFIG="+configPath,
 		"LB_NAME=", "LB_LISTEN=", "LB_DISCOVERY=")
 	return cmd, configPath
 }
 
-// minimalConfig is a configuration whose discovery service is down.
+// minimalConfig returns a configuration whose discovery service is unreachable.
 func minimalConfig(listen string, sockets int) string {
 	return fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":"127.0.0.1:1","limits":{"cores":1,"memory_mb":192,
 		"sockets":%d},"settings":{"classes":[{"name":"chat","effect":"read_like"}]}}`, listen, sockets)
 }
 
-// process is the program with its log.
+// process is a running instance of the program and its log.
 type process struct {
 	*exec.Cmd
 	t          *testing.T
@@ -58,15 +59,16 @@
 }
 
 // startMinimal starts the program with a minimal configuration.
-func startMinimal(t *testing.T, shell string, sockets int) *process {
+func startMinimal(t *testing.T, shellPrefix string, sockets int) *process {
 	t.Helper()
-	cmd, path := newCommand(t, shell, minimalConfig("127.0.0.1:0", sockets))
+	cmd, path := newCommand(t, shellPrefix, minimalConfig("127.0.0.1:0", sockets))
 	p := startProcess(t, cmd, testTimeout)
 	p.configPath = path
 	return p
 }
 
-// startProcess starts a program and waits until it serves. It is killed after maxRunTime and when the test ends.
+// startProcess starts the program and waits until it serves. The process is killed after maxRunTime and when the test
+// ends.
 func startProcess(t *testing.T, cmd *exec.Cmd, maxRunTime time.Duration) *process {
 	t.Helper()
 	p := &process{Cmd: cmd, t: t}
@@ -80,11 +82,11 @@
 	t.Cleanup(func() { p.Wait() })
 	p.killAfter(maxRunTime)
 	p.log = bufio.NewScanner(log)
-	p.addr = p.awaitLog("serving")["listen"].(string)
+	p.addr = p.awaitMessage("serving")["listen"].(string)
 	return p
 }
 
-// killAfter kills the process after a time and when the test ends.
+// killAfter kills the process after maxRunTime and when the test ends.
 func (p *process) killAfter(maxRunTime time.Duration) {
 	timer := time.AfterFunc(maxRunTime, func() { p.Process.Kill() })
 	p.t.Cleanup(func() {
@@ -93,27 +95,27 @@
 	})
 }
 
-// awaitLog reads the log up to a message and returns its line.
-func (p *process) awaitLog(message string) map[string]any {
+// awaitMessage reads the log up to the first line with a message and returns that line.
+func (p *process) awaitMessage(message string) map[string]any {
 	p.t.Helper()
 	for p.log.Scan() {
-		if line := p.parseLog(); line["msg"] == message {
+		if line := p.parseLogLine(); line["msg"] == message {
 			return line
 		}
 	}
-	p.t.Fatalf("the log ends without %q", message)
+	p.t.Fatalf("the log ended without the message %q", message)
 	return nil
 }
 
-// parseLog returns the last line of the log that was read.
-func (p *process) parseLog() (line map[string]any) {
+// parseLogLine decodes the log line that was read last.
+func (p *process) parseLogLine() (line map[string]any) {
 	if err := json.Unmarshal(p.log.Bytes(), &line); err != nil {
-		p.t.Errorf("the log has %q", p.log.Text())
+		p.t.Errorf("log line is not a JSON object: %q", p.log.Text())
 	}
 	return line
 }
 
-// reload replaces the configuration and has the program read it.
+// reload replaces the configuration file and sends SIGHUP to the program.
 func (p *process) reload(config string) {
 	p.t.Helper()
 	if err := os.WriteFile(p.configPath+".new", []byte(config), 0o600); err != nil {
@@ -124,28 +126,28 @@
 	p.Process.Signal(syscall.SIGHUP)
 }
 
-// ping has a client send one ping.
+// ping sends one ping as a client and checks the answer.
 func ping(addr string) error {
-	c, err := net.Dial("tcp", addr)
+	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return err
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(time.Second))
-	io.WriteString(c, "PING\r\n")
-	line, err := bufio.NewReader(c).ReadString('\n')
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(time.Second))
+	io.WriteString(conn, "PING\r\n")
+	line, err := bufio.NewReader(conn).ReadString('\n')
 	if err == nil && line != "PONG\r\n" {
 		err = fmt.Errorf("got %q", line)
 	}
 	return err
 }
 
-// waitUntil waits until a condition holds.
-func waitUntil(t *testing.T, what string, holds func() bool) {
+// waitUntil waits until a condition holds and fails the test after testTimeout.
+func waitUntil(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("waited in vain for " + what)
+			t.Fatal("timed out waiting for " + description)
 		}
 	}
 }
--- a/cmd/brassmux/surroundings_test.go
+++ b/cmd/brassmux/surroundings_test.go
@@ -13,47 +13,47 @@
 	"time"
 )
 
-// surroundings are the servers, all at one address, and the discovery service of a node. The service is down until
-// discoveryUp is set.
-type surroundings struct {
+// testEnvironment provides the servers, all at one address, and the discovery service of a node. The service rejects
+// requests until discoveryUp is set.
+type testEnvironment struct {
 	serverAddr, discoveryAddr string
 	discoveryUp               atomic.Bool
-	listCalls                 atomic.Int64 // while the service is up
-	checkConnections          atomic.Int64 // connections to servers that began with a health check
+	watchRequests             atomic.Int64 // requests for the server list while discoveryUp is set
+	healthCheckConnections    atomic.Int64 // connections to servers whose first line was a health check
 }
 
-// newSurroundings starts them; the service's list has a number of servers.
-func newSurroundings(t *testing.T, servers int) *surroundings {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// newTestEnvironment starts a server and a discovery service whose list has the given number of entries.
+func newTestEnvironment(t *testing.T, servers int) *testEnvironment {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
-	s := &surroundings{serverAddr: l.Addr().String()}
+	t.Cleanup(func() { listener.Close() })
+	environment := &testEnvironment{serverAddr: listener.Addr().String()}
 	go func() {
-		for conn, err := l.Accept(); err == nil; conn, err = l.Accept() {
-			go s.serveClient(conn)
+		for conn, err := listener.Accept(); err == nil; conn, err = listener.Accept() {
+			go environment.serveConnection(conn)
 		}
 	}()
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s.serveList(w, r, servers)
+		environment.serveDiscovery(w, r, servers)
 	}))
 	t.Cleanup(func() {
 		discovery.CloseClientConnections()
 		discovery.Close()
 	})
-	s.discoveryAddr = strings.TrimPrefix(discovery.URL, "http://")
-	return s
+	environment.discoveryAddr = strings.TrimPrefix(discovery.URL, "http://")
+	return environment
 }
 
-// serveList answers a watch with the list, and with an empty line each second.
-func (s *surroundings) serveList(w http.ResponseWriter, r *http.Request, servers int) {
-	if !s.discoveryUp.Load() {
+// serveDiscovery answers a watch request with the list, followed by an empty line each second.
+func (e *testEnvironment) serveDiscovery(w http.ResponseWriter, r *http.Request, servers int) {
+	if !e.discoveryUp.Load() {
 		http.Error(w, "down", http.StatusServiceUnavailable)
 		return
 	}
-	s.listCalls.Add(1)
-	fmt.Fprintf(w, `{"version":2,"full":true,"servers":[%s]}`+"\n", s.endpoints(servers))
+	e.watchRequests.Add(1)
+	fmt.Fprintf(w, `{"version":2,"full":true,"servers":[%s]}`+"\n", e.serverEntries(servers))
 	for {
 		w.(http.Flusher).Flush()
 		select {
@@ -65,66 +65,66 @@
 	}
 }
 
-// serveClient is a server: it answers health checks and accepts each client.
-func (s *surroundings) serveClient(conn net.Conn) {
+// serveConnection answers health checks and accepts every client, as a server does.
+func (e *testEnvironment) serveConnection(conn net.Conn) {
 	defer conn.Close()
-	in := bufio.NewReader(conn)
-	for isFirst := true; ; isFirst = false {
-		line, err := in.ReadString('\n')
+	reader := bufio.NewReader(conn)
+	for isFirstLine := true; ; isFirstLine = false {
+		line, err := reader.ReadString('\n')
 		if err != nil {
 			return
 		}
 		answer := "UP r\r\n"
 		if line == "STATS\r\n" {
 			answer = "PONG x0=0.1\r\n"
-			if isFirst {
-				s.checkConnections.Add(1)
+			if isFirstLine {
+				e.healthCheckConnections.Add(1)
 			}
 		}
 		io.WriteString(conn, answer)
 	}
 }
 
-// endpoints returns n entries of the list.
-func (s *surroundings) endpoints(n int) string {
+// serverEntries returns entries for the server list, separated by commas.
+func (e *testEnvironment) serverEntries(count int) string {
 	var entries []string
-	for i := range n {
+	for i := range count {
 		entries = append(entries, fmt.Sprintf(
-			`{"id":"s-%d","addr":%q,"zone":"a","state":"up","weight":1,"started_ms":0}`, i+1, s.serverAddr))
+			`{"id":"s-%d","addr":%q,"zone":"a","state":"up","weight":1,"started_ms":0}`, i+1, e.serverAddr))
 	}
 	return strings.Join(entries, ",")
 }
 
-// startIdleClient keeps an idle client at an address until the test ends. It comes again whenever it is closed.
+// startIdleClient keeps an idle connection to an address until the test ends, and reconnects whenever it is closed.
 func startIdleClient(t *testing.T, addr string) {
 	stop := make(chan struct{})
 	t.Cleanup(func() { close(stop) })
 	go func() {
 		for {
-			holdIdle(addr, stop)
+			holdIdleConnection(addr, stop)
 			select {
 			case <-stop:
 				return
-			case <-time.After(time.Millisecond): // no busy loop where it is refused
+			case <-time.After(time.Millisecond): // avoids a busy loop while connections are refused
 			}
 		}
 	}()
 }
 
-// holdIdle holds a connection until the other end closes it or stop is closed.
-func holdIdle(addr string, stop <-chan struct{}) {
+// holdIdleConnection keeps a connection open until the other side or stop is closed.
+func holdIdleConnection(addr string, stop <-chan struct{}) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return
 	}
 	defer conn.Close()
-	ended := make(chan struct{})
+	closed := make(chan struct{})
 	go func() {
 		io.Copy(io.Discard, conn)
-		close(ended)
+		close(closed)
 	}()
 	select {
-	case <-ended:
+	case <-closed:
 	case <-stop:
 	}
 }
--- a/cmd/brassmux/upgrade_test.go
+++ b/cmd/brassmux/upgrade_test.go
@@ -8,99 +8,105 @@
 	"time"
 )
 
-// clientInterval is the time between two clients of a stream.
+// clientInterval is the time between the starts of two clients of a stream.
 const clientInterval = 20 * time.Millisecond
 
-// Two upgrades under a stream of clients: no client is missed, none is without an answer, and none notices.
-func TestUpgradesAreNotNoticed(t *testing.T) {
+// Two upgrades under load must hand over all connections: no connection may be refused, closed or left without an
+// answer.
+func TestUpgradePreservesConnections(t *testing.T) {
 	p := newPlatform(t)
 	serving := p.start()
-	s := startClientStream(p.addr(), clientInterval)
+	stream := startClientStream(p.addr(), clientInterval)
 	for range 2 {
-		serving = upgradeUnderLoad(t, p, s, serving)
+		serving = upgradeUnderLoad(t, p, stream, serving)
 	}
-	s.end(t)
+	stream.stopAndReport(t)
 	serving.Process.Signal(syscall.SIGTERM)
-	if got := serving.awaitEnd()["taken_over"].(float64); got < 60 {
-		t.Errorf("taken over %v", got)
+	if got := serving.awaitExit()["taken_over"].(float64); got < 60 {
+		t.Errorf("got %v connections taken over, want at least 60", got)
 	}
 }
 
-// upgradeUnderLoad replaces a process and returns its successor. All connections must be transferred.
-func upgradeUnderLoad(t *testing.T, p *platform, s *clientStream, predecessor *platformProcess) *platformProcess {
+// upgradeUnderLoad replaces a process by a successor, which it returns, and checks that all connections were handed
+// over.
+func upgradeUnderLoad(t *testing.T, p *platform, stream *clientStream, predecessor *nodeProcess) *nodeProcess {
 	t.Helper()
-	opened := s.opened.Load() + 30
-	waitUntil(t, "clients", func() bool { return s.opened.Load() >= opened })
+	requiredClients := stream.openedClients.Load() + 30
+	waitUntil(t, "clients", func() bool { return stream.openedClients.Load() >= requiredClients })
 	successor := p.start()
-	successor.awaitReady("the new process")
+	successor.awaitReady("the successor to be ready")
 	predecessor.Process.Signal(syscall.SIGTERM)
-	last := predecessor.awaitEnd()
-	if got := last["handed_over"].(float64); got < 30 || last["moved"] != 0.0 || last["handover_faults"] != 0.0 {
-		t.Errorf("handed over %v, moved %v, faults %v", got, last["moved"], last["handover_faults"])
+	finalCounters := predecessor.awaitExit()
+	if got := finalCounters["handed_over"].(float64); got < 30 || finalCounters["moved"] != 0.0 ||
+		finalCounters["handover_faults"] != 0.0 {
+		t.Errorf("got %v connections handed over, %v moved, %v faults, want at least 30, 0 and 0", got,
+			finalCounters["moved"], finalCounters["handover_faults"])
 		predecessor.printLog()
 		successor.printLog()
 	}
-	lines := s.lines.Load() + 200
-	waitUntil(t, "lines", func() bool { return s.lines.Load() >= lines })
+	requiredLines := stream.answeredLines.Load() + 200
+	waitUntil(t, "lines", func() bool { return stream.answeredLines.Load() >= requiredLines })
 	return successor
 }
 
-// The predecessor is killed during the upgrade: its connections are lost, and the successor serves new clients.
-func TestAnUpgradeSurvivesThePredecessorsDeath(t *testing.T) {
+// If the predecessor is killed during the upgrade, its connections are lost, but the successor must serve new clients.
+func TestUpgradeSurvivesPredecessorCrash(t *testing.T) {
 	p := newPlatform(t)
 	predecessor := p.start()
 	successor := p.start()
-	successor.awaitReady("the new process")
+	successor.awaitReady("the successor to be ready")
 	predecessor.Process.Kill()
-	s := startClientStream(p.addr(), clientInterval)
-	waitUntil(t, "clients", func() bool { return s.opened.Load() >= 20 })
-	s.end(t)
+	stream := startClientStream(p.addr(), clientInterval)
+	waitUntil(t, "clients", func() bool { return stream.openedClients.Load() >= 20 })
+	stream.stopAndReport(t)
 	if !successor.isReady() {
-		t.Error("the new process is not ready any more")
+		t.Error("the successor is no longer ready")
 	}
 }
 
-// The successor is killed after it is ready: the predecessor goes on as before.
-func TestAnUpgradeThatFailsIsNotNoticed(t *testing.T) {
+// If the successor is killed after it is ready, the predecessor must keep its connections, and a later upgrade must
+// succeed.
+func TestFailedUpgradePreservesConnections(t *testing.T) {
 	p := newPlatform(t)
 	predecessor := p.start()
-	s := startClientStream(p.addr(), clientInterval)
-	waitUntil(t, "clients", func() bool { return s.opened.Load() >= 20 })
-	open := s.opened.Load()
+	stream := startClientStream(p.addr(), clientInterval)
+	waitUntil(t, "clients", func() bool { return stream.openedClients.Load() >= 20 })
+	openBefore := stream.openedClients.Load()
 	successor := p.start()
-	successor.awaitReady("the new process")
-	successor.Process.Signal(syscall.SIGSTOP) // it accepts no more, so that none of these clients is its
+	successor.awaitReady("the successor to be ready")
+	successor.Process.Signal(syscall.SIGSTOP) // stops accepting, so that all clients stay with the predecessor
 	successor.Process.Kill()
-	<-successor.ended
-	lines := s.lines.Load() + 20*open
-	waitUntil(t, "lines", func() bool { return s.lines.Load() >= lines })
+	<-successor.exited
+	requiredLines := stream.answeredLines.Load() + 20*openBefore
+	waitUntil(t, "lines", func() bool { return stream.answeredLines.Load() >= requiredLines })
 	if !predecessor.isReady() {
-		t.Error("the old process is not ready any more")
+		t.Error("the predecessor is no longer ready")
 	}
-	third := p.start() // and the next upgrade works
-	third.awaitReady("the third process")
+	third := p.start() // the next upgrade must succeed
+	third.awaitReady("the third process to be ready")
 	predecessor.Process.Signal(syscall.SIGTERM)
-	if got := predecessor.awaitEnd()["handed_over"].(float64); got < float64(open) {
-		t.Errorf("handed over %v of %d", got, open)
+	if got := predecessor.awaitExit()["handed_over"].(float64); got < float64(openBefore) {
+		t.Errorf("got %v connections handed over, want at least %d", got, openBefore)
 	}
-	s.ignoreFaults(func(fault string) bool { // of clients of the killed process alone
-		return strings.Contains(fault, "reset") || strings.Contains(fault, "EOF")
+	stream.ignoreFailures(func(failure string) bool { // connections that the killed process had accepted
+		return strings.Contains(failure, "reset") || strings.Contains(failure, "EOF")
 	})
-	s.end(t)
+	stream.stopAndReport(t)
 }
 
-func TestAnInvalidInheritedSocketFailsTheStart(t *testing.T) {
+// The program must not start if LB_LISTEN_FD names no listening socket or LB_ADMIN no address.
+func TestStartRejectsInvalidInheritedSocket(t *testing.T) {
 	for fd, want := range map[string]string{"x": "no number", "1": "no number", "77": "no listening socket"} {
 		cmd, _ := newCommand(t, "export LB_LISTEN_FD="+fd+";", minimalConfig("127.0.0.1:0", 1024))
 		out, err := cmd.CombinedOutput()
 		text := string(out)
-		if exit, ok := err.(*exec.ExitError); !ok || exit.ExitCode() != 1 || !strings.Contains(text, "LB_LISTEN_FD") ||
-			!strings.Contains(text, want) {
-			t.Errorf("%s: got %v, %q", fd, err, out)
+		if exitErr, ok := err.(*exec.ExitError); !ok || exitErr.ExitCode() != 1 ||
+			!strings.Contains(text, "LB_LISTEN_FD") || !strings.Contains(text, want) {
+			t.Errorf("LB_LISTEN_FD=%s: got %v, %q", fd, err, out)
 		}
 	}
 	cmd, _ := newCommand(t, "export LB_ADMIN=here;", minimalConfig("127.0.0.1:0", 1024))
 	if out, err := cmd.CombinedOutput(); err == nil || !strings.Contains(string(out), "admin (or LB_ADMIN)") {
-		t.Errorf("got %v, %q", err, out)
+		t.Errorf("got %v, %q, want an error that names LB_ADMIN", err, out)
 	}
 }
