--- a/cmd/brassmux/internal/cli/capacity.go
+++ b/cmd/brassmux/internal/cli/capacity.go
@@ -11,9 +11,9 @@
 )
 
 func newCapacityCommand(stdout io.Writer) *cobra.Command {
-	var page string
+	var pagePath string
 	var laterFiles []string
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "capacity FILE...",
 		Short: "Work out from what lab slopes measured what the size that is coming costs",
 		Long: "capacity reads files that lab slopes wrote and prints the tables of docs/CAPACITY.md: assumptions, " +
@@ -21,17 +21,17 @@
 			"that page, between its marks.",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, files []string) error {
-			return asCommandError(runCapacity(stdout, page, files, laterFiles))
+			return asCommandError(runCapacity(stdout, pagePath, files, laterFiles))
 		},
 	}
-	c.Flags().StringVar(&page, "page", "", "write the tables into this page")
-	c.Flags().StringSliceVar(&laterFiles, "after", nil,
+	command.Flags().StringVar(&pagePath, "page", "", "write the tables into this page")
+	command.Flags().StringSliceVar(&laterFiles, "after", nil,
 		"files of a later program, to be compared; all else is worked out without them")
-	return c
+	return command
 }
 
-// runCapacity prints the tables of some files, or writes them into a page.
-func runCapacity(stdout io.Writer, page string, files, laterFiles []string) error {
+// runCapacity builds the capacity tables from result files and prints them, or writes them into a page if one is given.
+func runCapacity(stdout io.Writer, pagePath string, files, laterFiles []string) error {
 	results, err := capacity.Load(files...)
 	if err != nil {
 		return err
@@ -44,8 +44,8 @@
 	if err != nil {
 		return err
 	}
-	if page != "" {
-		return fillPage(page, tables)
+	if pagePath != "" {
+		return fillPage(pagePath, tables)
 	}
 	for _, name := range capacity.TableNames {
 		fmt.Fprintf(stdout, "%s\n\n%s\n", name, tables[name])
@@ -53,15 +53,15 @@
 	return nil
 }
 
-// fillPage writes tables into a page, between its marks.
-func fillPage(page string, tables map[string]string) error {
-	text, err := os.ReadFile(page)
+// fillPage replaces the text between the marks of a page with the tables.
+func fillPage(path string, tables map[string]string) error {
+	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
 	filled, err := capacity.Fill(string(text), tables)
 	if err != nil {
-		return fmt.Errorf("%s: %w", page, err)
+		return fmt.Errorf("%s: %w", path, err)
 	}
-	return os.WriteFile(page, []byte(filled), 0o644)
+	return os.WriteFile(path, []byte(filled), 0o644)
 }
--- a/cmd/brassmux/internal/cli/check.go
+++ b/cmd/brassmux/internal/cli/check.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// checkConfig returns every fault of a configuration file.
+// checkConfig returns an error that names every invalid key of a configuration file.
 func checkConfig(path string, stdout io.Writer) error {
 	getenv := func(key string) string {
 		if key == "LB_CONFIG" {
--- a/cmd/brassmux/internal/cli/cli_test.go
+++ b/cmd/brassmux/internal/cli/cli_test.go
@@ -12,13 +12,13 @@
 	"brassmux/lab/fleet"
 )
 
-func run(args ...string) (code int, out, errs string) {
+func run(args ...string) (code int, out, errorOutput string) {
 	var stdout, stderr bytes.Buffer
 	code = Run(args, func(string) string { return "" }, &stdout, &stderr)
 	return code, stdout.String(), stderr.String()
 }
 
-func file(t *testing.T, text string) string {
+func writeTempFile(t *testing.T, text string) string {
 	path := filepath.Join(t.TempDir(), "f")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -26,38 +26,40 @@
 	return path
 }
 
-// exitCase is a command line with its exit code, and what is in its output and its messages.
-type exitCase struct {
-	args []string
-	code int
-	out  string
-	errs []string
+// commandCase is a command line with its expected exit code and the texts that its output and messages must contain.
+type commandCase struct {
+	args     []string
+	code     int
+	output   string
+	messages []string
 }
 
-func (c *exitCase) check(t *testing.T) {
+func (c *commandCase) check(t *testing.T) {
 	t.Helper()
-	code, out, errs := run(c.args...)
-	if code != c.code || !strings.Contains(out, c.out) {
-		t.Errorf("%v: exit %d, %q, %q", c.args, code, out, errs)
+	code, output, errorOutput := run(c.args...)
+	if code != c.code || !strings.Contains(output, c.output) {
+		t.Errorf("%v: got exit code %d, output %q, standard error %q", c.args, code, output, errorOutput)
 	}
-	for _, want := range c.errs {
-		if !strings.Contains(errs, want) {
-			t.Errorf("%v: %q does not name %q", c.args, errs, want)
+	for _, want := range c.messages {
+		if !strings.Contains(errorOutput, want) {
+			t.Errorf("%v: standard error is %q, want it to contain %q", c.args, errorOutput, want)
 		}
 	}
 }
 
+// Scripts rely on the exit codes, and operators on messages that name the invalid key, flag or file.
 func TestExitCodesAndMessages(t *testing.T) {
-	well := file(t, `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{"classes":[{"name":"chat"}]}}`)
-	faulty := file(t, `{"listen":"here","discovery":"127.0.0.1:1","seed":"x","limits":{"sockets":3},
+	valid := writeTempFile(t,
+		`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{"classes":[{"name":"chat"}]}}`)
+	invalid := writeTempFile(t, `{"listen":"here","discovery":"127.0.0.1:1","seed":"x","limits":{"sockets":3},
 		"times":{"probe_ms":-1},"settings":{"index":-1,"classes":[{"name":""}],
 		"rules":{"left_margin_us":-1,"start_error_us":-2}}}`)
-	wrongType := file(t, `{"settings":{"rules":{"only_draining_binds":"yes"}}}`)
-	for _, c := range []exitCase{
+	wrongType := writeTempFile(t, `{"settings":{"rules":{"only_draining_binds":"yes"}}}`)
+	for _, c := range []commandCase{
 		{[]string{}, 1, "", []string{"LB_CONFIG names no file"}},
 		{[]string{"serve"}, 1, "", []string{"LB_CONFIG names no file"}},
-		{[]string{"check", well}, 0, "is well", nil},
-		{[]string{"check", faulty}, 1, "", []string{"listen", "seed", "limits.sockets", "times.probe_ms",
+		{[]string{"check", valid}, 0, "is well", nil},
+		{[]string{"check", invalid}, 1, "", []string{"listen", "seed", "limits.sockets", "times.probe_ms",
 			"settings.index", "settings.classes[0].name", "settings.rules.left_margin_us",
 			"settings.rules.start_error_us"}},
 		{[]string{"check", wrongType}, 1, "", []string{"rules.only_draining_binds"}},
@@ -72,8 +74,10 @@
 	}
 }
 
-func TestExitCodesAndMessagesOfTheLab(t *testing.T) {
-	for _, c := range []exitCase{
+// The commands of the laboratory must reject an invalid argument with exit code 2, and a file that they cannot use with
+// exit code 1, and name it.
+func TestLabExitCodesAndMessages(t *testing.T) {
+	for _, c := range []commandCase{
 		{[]string{"lab", "fleet"}, 2, "", []string{"arg"}},
 		{[]string{"lab", "fleet", "no-such"}, 2, "", []string{"no-such", "calm"}},
 		{[]string{"lab", "fleet", "calm", "--seeds", "0"}, 2, "", []string{"--seeds"}},
@@ -104,8 +108,8 @@
 	}
 }
 
-// A run that shows nothing has an exit code of its own: it shows neither success nor failure.
-func TestExitCodesOfErrors(t *testing.T) {
+// An inconclusive run must be distinguishable from success and failure, so it has a separate exit code.
+func TestExitCodeByErrorType(t *testing.T) {
 	for want, err := range map[int]error{
 		0: nil,
 		1: asCommandError(errors.New("over")),
@@ -113,16 +117,17 @@
 		3: asCommandError(invalidRunError{errors.New("late")}),
 	} {
 		if got := exitCode(err); got != want {
-			t.Errorf("%v: exit %d, not %d", err, got, want)
+			t.Errorf("%v: got exit code %d, want %d", err, got, want)
 		}
 	}
 }
 
-func TestFleetWritesWhatItPrints(t *testing.T) {
+// The JSON file of lab fleet must hold the results that were printed, in the form that report reads.
+func TestFleetWritesResultsForReport(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r.json")
-	code, out, errs := run("lab", "fleet", "calm", "--seeds", "2", "--seed", "5", "--json", path)
-	if code != 0 || !strings.Contains(out, "served, worst 5 s") || !strings.Contains(out, "list calls") {
-		t.Fatalf("exit %d, %q, %q", code, out, errs)
+	code, output, errorOutput := run("lab", "fleet", "calm", "--seeds", "2", "--seed", "5", "--json", path)
+	if code != 0 || !strings.Contains(output, "served, worst 5 s") || !strings.Contains(output, "list calls") {
+		t.Fatalf("lab fleet: got exit code %d, output %q, standard error %q", code, output, errorOutput)
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -132,16 +137,18 @@
 	if err := json.Unmarshal(data, &results); err != nil {
 		t.Fatal(err)
 	}
-	if code, out, errs = run("report", path, path); code != 0 || !strings.Contains(out, "within noise") {
-		t.Errorf("a build against itself: exit %d, %q, %q", code, out, errs)
+	if code, output, errorOutput = run("report", path, path); code != 0 || !strings.Contains(output, "within noise") {
+		t.Errorf("report of a file with itself: got exit code %d, output %q, standard error %q",
+			code, output, errorOutput)
 	}
-	if code, _, errs = run("report", path, file(t, "[]")); code != 1 || !strings.Contains(errs, "in common") {
-		t.Errorf("nothing to compare: exit %d, %q", code, errs)
+	if code, _, errorOutput = run("report", path, writeTempFile(t, "[]")); code != 1 ||
+		!strings.Contains(errorOutput, "in common") {
+		t.Errorf("report of files without a common seed: got exit code %d, standard error %q", code, errorOutput)
 	}
-	if code, _, errs = run("report", path, "no-such"); code != 1 || !strings.Contains(errs, "no-such") {
-		t.Errorf("no file: exit %d, %q", code, errs)
+	if code, _, errorOutput = run("report", path, "no-such"); code != 1 || !strings.Contains(errorOutput, "no-such") {
+		t.Errorf("report of a missing file: got exit code %d, standard error %q", code, errorOutput)
 	}
 	if len(results) != 2 || results[0].Seed != 5 || results[1].Seed != 6 || results[0].Totals["up"] == 0 {
-		t.Errorf("got %+v", results)
+		t.Errorf("got results %+v, want seeds 5 and 6 with a total \"up\"", results)
 	}
 }
--- a/cmd/brassmux/internal/cli/report.go
+++ b/cmd/brassmux/internal/cli/report.go
@@ -27,7 +27,7 @@
 
 var errNothingInCommon = errors.New("the files have no scenario and seed in common")
 
-// report compares the results in two files.
+// report compares the results of two files and prints the change of each scenario.
 func report(stdout io.Writer, beforePath, afterPath string) error {
 	before, err := readResults(beforePath)
 	if err != nil {
@@ -37,19 +37,20 @@
 	if err != nil {
 		return err
 	}
-	compared := fleet.Compare(before, after)
-	if len(compared) == 0 {
+	comparisons := fleet.Compare(before, after)
+	if len(comparisons) == 0 {
 		return errNothingInCommon
 	}
 	table := newTable(stdout)
 	fmt.Fprintln(table, "scenario\tseeds\tbefore\tafter\tchange\t")
-	for _, c := range compared {
+	for _, comparison := range comparisons {
 		verdict := "more than chance"
-		if c.WithinNoise() {
+		if comparison.WithinNoise() {
 			verdict = "within noise"
 		}
 		fmt.Fprintf(table, "%s\t%d\t%.3f\t%.3f\t%+.3f\t%s\n",
-			c.Scenario, c.Seeds, c.MedianBefore, c.MedianAfter, c.MedianChange, verdict)
+			comparison.Scenario, comparison.Seeds, comparison.MedianBefore, comparison.MedianAfter,
+			comparison.MedianChange, verdict)
 	}
 	return table.Flush()
 }
--- a/cmd/brassmux/internal/cli/rig.go
+++ b/cmd/brassmux/internal/cli/rig.go
@@ -18,16 +18,16 @@
 	maxRigNodes = 300
 )
 
-// rigOptions are the flags of lab rig.
+// rigOptions holds the flags of the lab rig command.
 type rigOptions struct {
-	nodes    int // 0 for the scenario's
+	nodes    int // 0 keeps the number in the scenario
 	seed     uint64
 	jsonPath string
 }
 
 func newRigCommand(stdout io.Writer) *cobra.Command {
-	var o rigOptions
-	c := &cobra.Command{
+	var options rigOptions
+	command := &cobra.Command{
 		Use:   "rig SCENARIO...",
 		Short: "Start many processes of this program, put faults between them, and count at the receivers",
 		Long: "rig starts processes of this program on the loopback with stand-in servers, a list service and " +
@@ -36,64 +36,64 @@
 			"broken or the run says nothing (void).",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, names []string) error {
-			scenarios, err := o.load(names)
+			scenarios, err := options.load(names)
 			if err != nil {
-				return err // nothing has started
+				return err // no scenario has run, so this is a usage error
 			}
-			return asCommandError(runRig(stdout, scenarios, &o))
+			return asCommandError(runRig(stdout, scenarios, &options))
 		},
 	}
-	c.Flags().IntVar(&o.nodes, "nodes", 0, "how many nodes, in place of the scenario's")
-	c.Flags().Uint64Var(&o.seed, "seed", 1, "for clients, choices and chance")
-	c.Flags().StringVar(&o.jsonPath, "json", "", "write all results to this file")
-	return c
+	command.Flags().IntVar(&options.nodes, "nodes", 0, "how many nodes, in place of the scenario's")
+	command.Flags().Uint64Var(&options.seed, "seed", 1, "for clients, choices and chance")
+	command.Flags().StringVar(&options.jsonPath, "json", "", "write all results to this file")
+	return command
 }
 
-// load checks the flags and reads the scenarios.
+// load validates the flags and loads the named scenarios.
 func (o *rigOptions) load(names []string) ([]*rig.Scenario, error) {
 	if o.nodes != 0 && (o.nodes < minRigNodes || o.nodes > maxRigNodes) {
-		return nil, fmt.Errorf("--nodes: %d is not %d to %d", o.nodes, minRigNodes, maxRigNodes)
+		return nil, fmt.Errorf("--nodes: %d is not between %d and %d", o.nodes, minRigNodes, maxRigNodes)
 	}
 	var scenarios []*rig.Scenario
 	for _, name := range names {
-		s, err := rig.Load(name)
+		scenario, err := rig.Load(name)
 		if err != nil {
 			return nil, err
 		}
 		if o.nodes > 0 {
-			if err := s.SetNodes(o.nodes); err != nil {
+			if err := scenario.SetNodes(o.nodes); err != nil {
 				return nil, err
 			}
 		}
-		scenarios = append(scenarios, s)
+		scenarios = append(scenarios, scenario)
 	}
 	return scenarios, nil
 }
 
 var errRigFailed = errors.New("rules were broken, or a run was void")
 
-// runRig plays each scenario and prints what was counted.
-func runRig(stdout io.Writer, scenarios []*rig.Scenario, o *rigOptions) error {
-	var all []*rig.Result
+// runRig runs each scenario and prints its counters.
+func runRig(stdout io.Writer, scenarios []*rig.Scenario, options *rigOptions) error {
+	var allResults []*rig.Result
 	failed := false
-	for _, s := range scenarios {
-		r, err := rig.Run(s, rig.Options{Seed: o.seed})
+	for _, scenario := range scenarios {
+		result, err := rig.Run(scenario, rig.Options{Seed: options.seed})
 		if err != nil {
 			return err
 		}
-		all = append(all, r)
-		if err := writeRigTable(stdout, s, r, o.seed); err != nil {
+		allResults = append(allResults, result)
+		if err := writeRigTable(stdout, scenario, result, options.seed); err != nil {
 			return err
 		}
-		if r.Void != "" {
-			fmt.Fprintf(stdout, "void: %s\n", r.Void)
+		if result.Void != "" {
+			fmt.Fprintf(stdout, "void: %s\n", result.Void)
 		}
-		if r.Broken.Any() {
-			fmt.Fprintf(stdout, "rules broken: %+v\n  %s\n", r.Broken, strings.Join(r.History, "\n  "))
+		if result.Broken.Any() {
+			fmt.Fprintf(stdout, "rules broken: %+v\n  %s\n", result.Broken, strings.Join(result.History, "\n  "))
 		}
-		failed = failed || r.Void != "" || r.Broken.Any()
+		failed = failed || result.Void != "" || result.Broken.Any()
 	}
-	if err := writeResults(o.jsonPath, all); err != nil {
+	if err := writeResults(options.jsonPath, allResults); err != nil {
 		return err
 	}
 	if failed {
@@ -102,41 +102,42 @@
 	return nil
 }
 
-func writeRigTable(stdout io.Writer, s *rig.Scenario, r *rig.Result, seed uint64) error {
+func writeRigTable(stdout io.Writer, scenario *rig.Scenario, result *rig.Result, seed uint64) error {
 	table := newTable(stdout)
-	fmt.Fprintf(table, "%s\tseed %d, %d nodes\n", s.Name, seed, s.Nodes)
-	fmt.Fprintf(table, "  served\t%.3f\n  most that the rig was late\t%.0f ms\n", r.Served, r.Lateness)
-	fmt.Fprintf(table, "  fullest window of a cold server\t%.3f\n", r.ColdUsed)
-	for _, name := range r.Names() {
-		fmt.Fprintf(table, "  %s\t%d\n", name, r.Totals[name])
+	fmt.Fprintf(table, "%s\tseed %d, %d nodes\n", scenario.Name, seed, scenario.Nodes)
+	fmt.Fprintf(table, "  served\t%.3f\n  most that the rig was late\t%.0f ms\n", result.Served, result.Lateness)
+	fmt.Fprintf(table, "  fullest window of a cold server\t%.3f\n", result.ColdUsed)
+	for _, name := range result.Names() {
+		fmt.Fprintf(table, "  %s\t%d\n", name, result.Totals[name])
 	}
-	writeRigTimes(table, s, r)
-	for _, what := range slices.Sorted(maps.Keys(r.Peaks)) {
-		fmt.Fprintf(table, "  most %s in 1 s\t%d\n", what, r.Peaks[what])
+	writeRigTimes(table, scenario, result)
+	for _, kind := range slices.Sorted(maps.Keys(result.Peaks)) {
+		fmt.Fprintf(table, "  most %s in 1 s\t%d\n", kind, result.Peaks[kind])
 	}
-	for i, e := range s.Events {
-		fmt.Fprintf(table, "  %s acted\t%d\n", e.Do, r.Effects[i])
+	for i, event := range scenario.Events {
+		fmt.Fprintf(table, "  %s acted\t%d\n", event.Do, result.Effects[i])
 	}
-	fmt.Fprintf(table, "  words between nodes, bytes a second\t%.0f, %.0f\n", r.Words.All, r.Words.Bytes)
+	fmt.Fprintf(table, "  words between nodes, bytes a second\t%.0f, %.0f\n", result.Words.All, result.Words.Bytes)
 	return table.Flush()
 }
 
-// writeRigTimes writes how long nodes took to have a list, to be ready, and to have a list after an outage.
-func writeRigTimes(table io.Writer, s *rig.Scenario, r *rig.Result) {
-	if l := r.Lists; l.Starts > 0 {
+// writeRigTimes writes how long nodes took to receive a server list, to become ready, and to receive a list again after
+// an outage of the discovery service.
+func writeRigTimes(table io.Writer, scenario *rig.Scenario, result *rig.Result) {
+	if lists := result.Lists; lists.Starts > 0 {
 		fmt.Fprintf(table, "  list after, half, 99%%, all\t%.1f, %.1f, %.1f s; %d of %d starts never\n",
-			l.Half, l.Most, l.All, l.Never, l.Starts)
+			lists.Half, lists.Most, lists.All, lists.Never, lists.Starts)
 	}
-	for _, p := range r.Ready {
+	for _, ready := range result.Ready {
 		cause := "the day's start"
-		if p.Event >= 0 {
-			cause = fmt.Sprintf("event %d, %s", p.Event, s.Events[p.Event].Do)
+		if ready.Event >= 0 {
+			cause = fmt.Sprintf("event %d, %s", ready.Event, scenario.Events[ready.Event].Do)
 		}
 		fmt.Fprintf(table, "  ready after, half, 90%%, all\t%.2f, %.2f, %.2f s; %d of %d starts never (%s)\n",
-			p.Half, p.NineInTen, p.All, p.Never, p.Starts, cause)
+			ready.Half, ready.NineInTen, ready.All, ready.Never, ready.Starts, cause)
 	}
-	if l := r.Back; l.Starts > 0 {
+	if lists := result.Back; lists.Starts > 0 {
 		fmt.Fprintf(table, "  list after its service is back\t%.1f, %.1f, %.1f s; %d of %d never\n",
-			l.Half, l.Most, l.All, l.Never, l.Starts)
+			lists.Half, lists.Most, lists.All, lists.Never, lists.Starts)
 	}
 }
--- a/cmd/brassmux/internal/cli/root.go
+++ b/cmd/brassmux/internal/cli/root.go
@@ -1,5 +1,5 @@
-// Package cli is the command line of brassmux: its commands, their flags and help, and the exit codes. It is the top of
-// the program and imports package node and the laboratory; nothing imports it but the main beside it.
+// Package cli implements the command line of brassmux: its commands, their flags and help texts, and the exit codes.
+// It imports package node and the laboratory, and only the main package imports it.
 package cli
 
 import (
@@ -13,22 +13,22 @@
 // Exit codes.
 const (
 	exitOK         = 0
-	exitFailed     = 1 // a command has run and failed
-	exitUsage      = 2 // the command line is faulty
-	exitInvalidRun = 3 // a run of the laboratory shows nothing
+	exitFailed     = 1 // the command ran and failed
+	exitUsage      = 2 // the command line is invalid
+	exitInvalidRun = 3 // a laboratory run is void: its result is inconclusive
 )
 
-// commandError is an error of a command that was understood and has run.
+// commandError is the error of a command that ran and failed, as opposed to an invalid command line.
 type commandError struct{ error }
 
 func (e commandError) Unwrap() error { return e.error }
 
-// invalidRunError is the error of a run that shows nothing.
+// invalidRunError is the error of a laboratory run whose result is inconclusive.
 type invalidRunError struct{ error }
 
 func (e invalidRunError) Unwrap() error { return e.error }
 
-// asCommandError marks an error, if any, as that of a command which has run.
+// asCommandError wraps a non-nil error of a command that ran in a commandError.
 func asCommandError(err error) error {
 	if err == nil {
 		return nil
@@ -48,7 +48,7 @@
 	return exitUsage
 }
 
-// Run carries out a command line and returns the exit code. Without a command it serves.
+// Run executes a command line and returns the exit code. Without a command it runs serve.
 func Run(args []string, getenv func(string) string, stdout, stderr io.Writer) int {
 	root := newRootCommand(getenv, stdout)
 	root.SetArgs(args)
@@ -89,13 +89,13 @@
 	return root
 }
 
-// newLabCommand returns the laboratory with its commands.
+// newLabCommand returns the lab command with its subcommands.
 func newLabCommand(stdout io.Writer) *cobra.Command {
 	lab := &cobra.Command{
 		Use:   "lab",
 		Short: "Cause failures and measure what they cost",
 		Args:  cobra.NoArgs,
-		RunE:  func(c *cobra.Command, _ []string) error { return c.Help() },
+		RunE:  func(command *cobra.Command, _ []string) error { return command.Help() },
 	}
 	lab.AddCommand(
 		newFleetCommand(stdout),
--- a/cmd/brassmux/internal/cli/scale.go
+++ b/cmd/brassmux/internal/cli/scale.go
@@ -13,10 +13,10 @@
 )
 
 func newScaleCommand(stdout io.Writer) *cobra.Command {
-	o := scale.Options{}
+	options := scale.Options{}
 	var jsonPath string
 	var flat bool
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "scale",
 		Short: "Play fleets of growing size, count what control costs each role, and hold it against its targets",
 		Long: "scale plays fleets of growing size on this machine: hollow nodes, which run this program's own " +
@@ -26,34 +26,36 @@
 			"3 where the run says nothing (void). Scenarios: " + strings.Join(scale.Scenarios(), ", ") + ".",
 		Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			if flat && o.Control > 0 {
-				return fmt.Errorf("--flat: goes with no --control %d", o.Control)
+			if flat && options.Control > 0 {
+				return fmt.Errorf("--flat cannot be combined with --control %d", options.Control)
 			}
-			if err := o.Check(); err != nil {
+			if err := options.Check(); err != nil {
 				return err
 			}
-			o.Log = stdout
-			return asCommandError(runScale(stdout, o, jsonPath))
+			options.Log = stdout
+			return asCommandError(runScale(stdout, options, jsonPath))
 		},
 	}
-	addScaleFlags(c, &o)
-	c.Flags().BoolVar(&flat, "flat", false,
+	addScaleFlags(command, &options)
+	command.Flags().BoolVar(&flat, "flat", false,
 		"control without control machines: all nodes with one another, as where --control is 0")
-	c.Flags().StringVar(&jsonPath, "json", "", "write all results to this file")
-	return c
+	command.Flags().StringVar(&jsonPath, "json", "", "write all results to this file")
+	return command
 }
 
-func addScaleFlags(c *cobra.Command, o *scale.Options) {
-	c.Flags().IntSliceVar(&o.Nodes, "nodes", []int{300, 1000, 3000, 5700}, "sizes, hollow and real nodes together")
-	c.Flags().IntVar(&o.Real, "real", 12, "how many of them are processes that serve real clients")
-	c.Flags().Uint64Var(&o.Seed, "seed", 1, "for the nodes, their traffic and chance")
-	c.Flags().DurationVar(&o.For, "for", 30*time.Second, "how long each fleet is counted")
-	c.Flags().IntVar(&o.Control, "control", 0, "control machines beside the nodes; 0: control is flat")
-	c.Flags().StringVar(&o.Scenario, "scenario", "steady", "what happens")
-	c.Flags().DurationVar(&o.Cut, "cut", time.Minute, "how long a cut or a loss lasts, where the scenario has one")
+func addScaleFlags(command *cobra.Command, options *scale.Options) {
+	command.Flags().IntSliceVar(&options.Nodes, "nodes", []int{300, 1000, 3000, 5700},
+		"sizes, hollow and real nodes together")
+	command.Flags().IntVar(&options.Real, "real", 12, "how many of them are processes that serve real clients")
+	command.Flags().Uint64Var(&options.Seed, "seed", 1, "for the nodes, their traffic and chance")
+	command.Flags().DurationVar(&options.For, "for", 30*time.Second, "how long each fleet is counted")
+	command.Flags().IntVar(&options.Control, "control", 0, "control machines beside the nodes; 0: control is flat")
+	command.Flags().StringVar(&options.Scenario, "scenario", "steady", "what happens")
+	command.Flags().DurationVar(&options.Cut, "cut", time.Minute,
+		"how long a cut or a loss lasts, where the scenario has one")
 }
 
-// newScalePartCommand returns the command of one process of such a run.
+// newScalePartCommand returns the hidden command that lab scale starts for each of its processes.
 func newScalePartCommand(stdout io.Writer) *cobra.Command {
 	return &cobra.Command{
 		Use:    "scale-part",
@@ -63,28 +65,28 @@
 	}
 }
 
-// runScale plays the fleets and prints what control cost.
-func runScale(stdout io.Writer, o scale.Options, jsonPath string) error {
-	r, err := scale.Run(o)
+// runScale runs the fleets and prints the cost of the control plane for each role.
+func runScale(stdout io.Writer, options scale.Options, jsonPath string) error {
+	result, err := scale.Run(options)
 	if err != nil {
 		return invalidRunError{err}
 	}
-	for _, f := range r.Fleets {
-		if err := writeScaleFleet(stdout, f); err != nil {
+	for _, fleet := range result.Fleets {
+		if err := writeScaleFleet(stdout, fleet); err != nil {
 			return err
 		}
 	}
-	if err := writeScaleGrowth(stdout, r); err != nil {
+	if err := writeScaleGrowth(stdout, result); err != nil {
 		return err
 	}
-	if err := writeResults(jsonPath, r); err != nil {
+	if err := writeResults(jsonPath, result); err != nil {
 		return err
 	}
-	if reason := r.Void(); reason != "" {
+	if reason := result.Void(); reason != "" {
 		return invalidRunError{fmt.Errorf("void: %s", reason)}
 	}
-	if !r.Holds() {
-		return fmt.Errorf("with %d nodes not every target of control holds", r.Fleets[len(r.Fleets)-1].Nodes)
+	if !result.Holds() {
+		return fmt.Errorf("a control target does not hold with %d nodes", result.Fleets[len(result.Fleets)-1].Nodes)
 	}
 	return nil
 }
--- a/cmd/brassmux/internal/cli/scale_output.go
+++ b/cmd/brassmux/internal/cli/scale_output.go
@@ -7,16 +7,16 @@
 	"brassmux/lab/scale"
 )
 
-// scaleRoles are the roles of machines, in the order of the table.
+// scaleRoles lists the roles of the machines in the order of the table rows.
 var scaleRoles = []string{"node", "real", "leader", "spare", "control", "list"}
 
-// writeScaleFleet prints what was counted with one size.
-func writeScaleFleet(out io.Writer, f *scale.Fleet) error {
+// writeScaleFleet prints the measurements of one fleet.
+func writeScaleFleet(out io.Writer, fleet *scale.Fleet) error {
 	table := newTable(out)
 	fmt.Fprintf(table, "%d nodes, %d of them real\tmachines\tcores (most)\tlive MB\tresident MB\tdescriptors\t"+
-		"words in\twords out\tB/s in (most)\tB/s out (most)\tlist B/s\n", f.Nodes, f.Real)
+		"words in\twords out\tB/s in (most)\tB/s out (most)\tlist B/s\n", fleet.Nodes, fleet.Real)
 	for _, name := range scaleRoles {
-		if role, ok := f.Roles[name]; ok {
+		if role, ok := fleet.Roles[name]; ok {
 			fmt.Fprintf(table, "  %s\t%d\t%g (%g)\t%g\t%g\t%g\t%g\t%g\t%g (%g)\t%g (%g)\t%g\n",
 				name, role.Machines, role.CPU, role.MostCPU, role.Live, role.Resident, role.Files, role.In.Words,
 				role.Out.Words, role.In.Bytes, role.In.MostBytes, role.Out.Bytes, role.Out.MostBytes, role.List.Bytes)
@@ -25,43 +25,46 @@
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	c, u := f.Changes, f.Units
+	changes, units := fleet.Changes, fleet.Units
 	fmt.Fprintf(out, "  %d changes in force at half, 99%%, all after %g, %g, %g s, never %d times; %s: %d taken, "+
 		"%d refused, most in a second %d of %d; a busy node without a grant for %g s (99%%), %g s at most\n",
-		c.Made, c.Half, c.Most, c.All, c.Never, u.Kind, u.Taken, u.Refused, u.Most, u.Whole, u.Gap, u.GapMost)
+		changes.Made, changes.Half, changes.Most, changes.All, changes.Never,
+		units.Kind, units.Taken, units.Refused, units.Most, units.Whole, units.Gap, units.GapMost)
 	fmt.Fprintf(out, "  real clients %v; all served after %.1f s; the run was %.0f ms late, over 100 ms at %g of its "+
-		"looks\n", f.Clients, f.Start, f.Late, f.Looks)
-	if p := f.Peak; p.Times > 0 {
+		"looks\n", fleet.Clients, fleet.Start, fleet.Late, fleet.Looks)
+	if peak := fleet.Peak; peak.Times > 0 {
 		fmt.Fprintf(out, "  most words in a second after the return: %g times the mean, at the %s %d\n",
-			p.Times, p.Role, p.Node)
+			peak.Times, peak.Role, peak.Node)
 	}
-	for _, note := range f.Notes {
+	for _, note := range fleet.Notes {
 		fmt.Fprintf(out, "  %s\n", note)
 	}
-	for _, target := range f.Targets {
+	for _, target := range fleet.Targets {
 		writeScaleTarget(out, target)
 	}
 	return nil
 }
 
-func writeScaleTarget(out io.Writer, t scale.Target) {
+func writeScaleTarget(out io.Writer, target scale.Target) {
 	verdict := "holds"
-	if !t.Holds {
+	if !target.Holds {
 		verdict = "does not hold"
 	}
-	fmt.Fprintf(out, "  %s: %s: %g of %g (%g times)\n", verdict, t.What, t.Got, t.Limit, t.Factor)
+	fmt.Fprintf(out, "  %s: %s: %g of %g (%g times)\n", verdict, target.What, target.Got, target.Limit, target.Factor)
 }
 
-// writeScaleGrowth prints how the cost of each role grows with the nodes, where enough sizes were played.
-func writeScaleGrowth(out io.Writer, r *scale.Result) error {
-	if len(r.Slopes) == 0 {
+// writeScaleGrowth prints how the cost of each role grows with the number of nodes. It prints nothing if too few sizes
+// were run to fit a slope.
+func writeScaleGrowth(out io.Writer, result *scale.Result) error {
+	if len(result.Slopes) == 0 {
 		return nil
 	}
 	table := newTable(out)
 	fmt.Fprintln(table, "growth with the nodes\tper 1,000 nodes\t+-\texponent\t+-\tspread about the line\tverdict")
-	for _, s := range r.Slopes {
-		fmt.Fprintf(table, "  %s: %s\t%.4g\t%.2g\t%.2f\t%.2g\t%.2g\t%s\n", s.Role, s.What,
-			1000*s.Slope, 1000*s.SlopeMargin, s.Exponent, s.ExponentMargin, s.ResidualDeviation, s.Verdict)
+	for _, slope := range result.Slopes {
+		fmt.Fprintf(table, "  %s: %s\t%.4g\t%.2g\t%.2f\t%.2g\t%.2g\t%s\n", slope.Role, slope.What,
+			1000*slope.Slope, 1000*slope.SlopeMargin, slope.Exponent, slope.ExponentMargin,
+			slope.ResidualDeviation, slope.Verdict)
 	}
 	return table.Flush()
 }
--- a/cmd/brassmux/internal/cli/serve.go
+++ b/cmd/brassmux/internal/cli/serve.go
@@ -31,8 +31,9 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	signals := make(chan os.Signal, 8)
-	signal.Notify(signals, syscall.SIGHUP, syscall.SIGUSR1) // first of all: by default either ends the program
-	signal.Ignore(syscall.SIGPIPE)                          // a log collector that has gone must not end the program
+	// Installed before anything else, because the default action of both signals ends the program.
+	signal.Notify(signals, syscall.SIGHUP, syscall.SIGUSR1)
+	signal.Ignore(syscall.SIGPIPE) // a broken pipe to the log collector must not end the program
 	cfg, err := node.Load(getenv)
 	if err != nil {
 		return err
@@ -42,42 +43,43 @@
 		return err
 	}
 	defer log.Sync()
-	n, err := node.New(cfg, log)
+	runningNode, err := node.New(cfg, log)
 	if err != nil {
 		return err
 	}
-	n.ApplyLimits()
-	go handleSignals(signals, n, getenv, log, lines)
-	return n.Run(ctx)
+	runningNode.ApplyLimits()
+	go handleSignals(signals, runningNode, getenv, log, lines)
+	return runningNode.Run(ctx)
 }
 
-// handleSignals prints the counters at each SIGUSR1 and reloads the configuration at each SIGHUP.
+// handleSignals logs the counters on each SIGUSR1 and reloads the configuration on each SIGHUP.
 func handleSignals(
-	signals <-chan os.Signal, n *node.Node, getenv func(string) string, log *zap.Logger, lines *asynclog.Writer,
+	signals <-chan os.Signal, runningNode *node.Node, getenv func(string) string,
+	log *zap.Logger, lines *asynclog.Writer,
 ) {
 	for received := range signals {
 		if received == syscall.SIGUSR1 {
-			log.Info("counters", append(n.Counters(), zap.Int64("log_lines_dropped", lines.Dropped()))...)
+			log.Info("counters", append(runningNode.Counters(), zap.Int64("log_lines_dropped", lines.Dropped()))...)
 			continue
 		}
-		if err := reload(n, getenv); err != nil {
+		if err := reload(runningNode, getenv); err != nil {
 			log.Error("the new configuration is rejected", zap.Error(err))
 		}
 	}
 }
 
-func reload(n *node.Node, getenv func(string) string) error {
+func reload(runningNode *node.Node, getenv func(string) string) error {
 	cfg, err := node.LoadForReload(getenv)
 	if err != nil {
 		return err
 	}
-	return n.Reload(cfg)
+	return runningNode.Reload(cfg)
 }
 
-// newLogger returns a logger to standard error with a level, "" for the default, and the writer of its lines.
+// newLogger returns a logger to standard error and the writer of its lines. An empty level selects the default.
 func newLogger(level string) (*zap.Logger, *asynclog.Writer, error) {
 	config := zap.NewProductionConfig()
-	config.Sampling = nil // each connection that ends leaves its line
+	config.Sampling = nil // every ended connection must be logged
 	if level != "" {
 		parsed, err := zap.ParseAtomicLevel(level)
 		if err != nil {
@@ -92,10 +94,10 @@
 	return log, lines, err
 }
 
-// maxQueuedLines bounds the log lines that wait for the collector: a few megabytes at most.
+// maxQueuedLines limits the log lines that are queued for the log collector to a few megabytes.
 const maxQueuedLines = 8192
 
-// formatDroppedLines returns the log line that reports lines that were dropped.
+// formatDroppedLines returns the log line that reports the number of dropped lines.
 func formatDroppedLines(dropped int64) []byte {
 	return fmt.Appendf(nil, `{"level":"warn","msg":"log lines were dropped","lines":%d}`+"\n", dropped)
 }
--- a/cmd/brassmux/internal/cli/sizes.go
+++ b/cmd/brassmux/internal/cli/sizes.go
@@ -15,9 +15,9 @@
 const maxSizesServers = 4000
 
 func newSizesCommand(stdout io.Writer) *cobra.Command {
-	var s rig.Sizes
+	var sizes rig.Sizes
 	var jsonPath string
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use: "sizes",
 		Short: "Play one node of a large fleet beside more and more servers, and hold what it needs against the " +
 			"operators' bounds",
@@ -28,61 +28,62 @@
 			"number.\nNothing else should run beside it. Exit code 1 where a bound is exceeded.",
 		Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			if err := checkSizes(&s); err != nil {
+			if err := checkSizes(&sizes); err != nil {
 				return err
 			}
-			return asCommandError(runSizes(stdout, s, jsonPath))
+			return asCommandError(runSizes(stdout, sizes, jsonPath))
 		},
 	}
-	c.Flags().IntSliceVar(&s.Servers, "servers", []int{200, 3200}, "numbers of servers")
-	c.Flags().IntVar(&s.Fleet, "fleet", 300, "nodes of the fleet, of which one is played")
-	c.Flags().Float64Var(&s.PerSecond, "per-second", 20, "new clients")
-	c.Flags().DurationVar(&s.Length, "for", 25*time.Second, "length of each play")
-	c.Flags().Uint64Var(&s.Seed, "seed", 1, "for clients and changes")
-	c.Flags().StringVar(&s.Binary, "binary", "",
+	command.Flags().IntSliceVar(&sizes.Servers, "servers", []int{200, 3200}, "numbers of servers")
+	command.Flags().IntVar(&sizes.Fleet, "fleet", 300, "nodes of the fleet, of which one is played")
+	command.Flags().Float64Var(&sizes.PerSecond, "per-second", 20, "new clients")
+	command.Flags().DurationVar(&sizes.Length, "for", 25*time.Second, "length of each play")
+	command.Flags().Uint64Var(&sizes.Seed, "seed", 1, "for clients and changes")
+	command.Flags().StringVar(&sizes.Binary, "binary", "",
 		"the program to play, as an earlier build; this one where it is not named")
-	c.Flags().StringVar(&jsonPath, "json", "", "write all results to this file")
-	return c
+	command.Flags().StringVar(&jsonPath, "json", "", "write all results to this file")
+	return command
 }
 
-// checkSizes returns an error for a flag that is out of range.
-func checkSizes(s *rig.Sizes) error {
-	for _, n := range s.Servers {
-		if n < 1 || n > maxSizesServers {
-			return fmt.Errorf("--servers: %d is not 1 to %d", n, maxSizesServers)
+// checkSizes returns an error if a flag is out of range.
+func checkSizes(sizes *rig.Sizes) error {
+	for _, servers := range sizes.Servers {
+		if servers < 1 || servers > maxSizesServers {
+			return fmt.Errorf("--servers: %d is not between 1 and %d", servers, maxSizesServers)
 		}
 	}
-	if len(s.Servers) < 2 {
-		return errors.New("--servers: two numbers are wanted at the least")
+	if len(sizes.Servers) < 2 {
+		return errors.New("--servers: at least two numbers are required")
 	}
-	if s.Fleet < 1 || s.PerSecond <= 0 || s.Length < time.Second {
-		return errors.New("--fleet, --per-second and --for: must be over 0, and 1s at the least")
+	if sizes.Fleet < 1 || sizes.PerSecond <= 0 || sizes.Length < time.Second {
+		return errors.New("--fleet must be at least 1, --per-second greater than 0 and --for at least 1s")
 	}
 	return nil
 }
 
 var errBoundExceeded = errors.New("a bound is exceeded")
 
-// runSizes plays the node at each size and prints what it needed.
-func runSizes(stdout io.Writer, s rig.Sizes, jsonPath string) error {
-	results, err := s.Run()
+// runSizes measures the node with each number of servers and prints the resources that it used. It returns an error if
+// a bound is exceeded.
+func runSizes(stdout io.Writer, sizes rig.Sizes, jsonPath string) error {
+	results, err := sizes.Run()
 	if err != nil {
 		return err
 	}
 	table := newTable(stdout)
 	fmt.Fprintln(table, "servers\tprocessor s\tmemory MB\tdescriptors\tconnections\tlist bytes\tserved")
-	for _, r := range results {
-		fmt.Fprintf(table, "%d\t%.2f\t%.1f\t%d\t%d\t%d\t%.3f\n", r.Servers, r.CPU, r.Memory, r.Descriptors,
-			r.Connections, r.ListBytes, r.Served)
+	for _, result := range results {
+		fmt.Fprintf(table, "%d\t%.2f\t%.1f\t%d\t%d\t%d\t%.3f\n", result.Servers, result.CPU, result.Memory,
+			result.Descriptors, result.Connections, result.ListBytes, result.Served)
 	}
 	if err := table.Flush(); err != nil {
 		return err
 	}
 	exceeded := false
-	for _, r := range results {
-		if len(r.Over) > 0 {
+	for _, result := range results {
+		if len(result.Over) > 0 {
 			exceeded = true
-			fmt.Fprintf(stdout, "%d servers, over: %s\n", r.Servers, strings.Join(r.Over, "; "))
+			fmt.Fprintf(stdout, "%d servers, over: %s\n", result.Servers, strings.Join(result.Over, "; "))
 		}
 	}
 	if err := writeResults(jsonPath, results); err != nil {
--- a/cmd/brassmux/internal/cli/slopes.go
+++ b/cmd/brassmux/internal/cli/slopes.go
@@ -15,9 +15,9 @@
 )
 
 func newSlopesCommand(stdout io.Writer) *cobra.Command {
-	o := capacity.Options{}
+	options := capacity.Options{}
 	var jsonPath string
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "slopes [NAME...]",
 		Short: "Measure how what nodes, keeper and lists cost grows with the size of a fleet",
 		Long: "slopes makes each measurement several times at four sizes or more, and tells the line through " +
@@ -27,51 +27,51 @@
 			"The groups node and ports start this program as nodes and hold up to 4,000 connections: they need 9,000 " +
 			"descriptors.",
 		RunE: func(_ *cobra.Command, names []string) error {
-			if err := checkSlopes(&o, names); err != nil {
+			if err := checkSlopes(&options, names); err != nil {
 				return err
 			}
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 			defer stop()
-			return asCommandError(runSlopes(ctx, stdout, o, names, jsonPath))
+			return asCommandError(runSlopes(ctx, stdout, options, names, jsonPath))
 		},
 	}
-	c.Flags().Uint64Var(&o.Seed, "seed", 1, "for keys, choices and chance")
-	c.Flags().IntVar(&o.Repeat, "repeat", 5, "how often each is measured at each size")
-	c.Flags().IntVar(&o.Part, "part", 1, "divide all sizes by it, for a quick look")
-	c.Flags().StringVar(&jsonPath, "json", "", "write all measurements to this file")
-	return c
+	command.Flags().Uint64Var(&options.Seed, "seed", 1, "for keys, choices and chance")
+	command.Flags().IntVar(&options.Repeat, "repeat", 5, "how often each is measured at each size")
+	command.Flags().IntVar(&options.Part, "part", 1, "divide all sizes by it, for a quick look")
+	command.Flags().StringVar(&jsonPath, "json", "", "write all measurements to this file")
+	return command
 }
 
-// checkSlopes returns an error for a flag that is out of range and for an unknown name.
-func checkSlopes(o *capacity.Options, names []string) error {
-	if o.Repeat < 2 || o.Repeat > 100 {
-		return fmt.Errorf("--repeat: %d is not 2 to 100", o.Repeat)
+// checkSlopes returns an error if a flag is out of range or a measurement name is unknown.
+func checkSlopes(options *capacity.Options, names []string) error {
+	if options.Repeat < 2 || options.Repeat > 100 {
+		return fmt.Errorf("--repeat: %d is not between 2 and 100", options.Repeat)
 	}
-	if o.Part < 1 || o.Part > 100 {
-		return fmt.Errorf("--part: %d is not 1 to 100", o.Part)
+	if options.Part < 1 || options.Part > 100 {
+		return fmt.Errorf("--part: %d is not between 1 and 100", options.Part)
 	}
 	return capacity.Check(names)
 }
 
-// runSlopes makes the measurements and prints how each grows.
-func runSlopes(ctx context.Context, stdout io.Writer, o capacity.Options, names []string, jsonPath string) error {
-	r, err := capacity.Measure(ctx, o, names...)
+// runSlopes takes the measurements and prints how each grows with the size.
+func runSlopes(ctx context.Context, stdout io.Writer, options capacity.Options, names []string, jsonPath string) error {
+	results, err := capacity.Measure(ctx, options, names...)
 	if err != nil {
 		return err
 	}
-	r.Program = version()
+	results.Program = version()
 	table := newTable(stdout)
 	fmt.Fprintln(table, "name\tof\tunit\tleast size\tgreatest size\tslope\tspread\texponent\tform")
-	for _, s := range r.Slopes {
-		sizes := s.Sizes()
-		at := func(n float64) string { return fmt.Sprintf("%.0f: %.4g", n, s.Median(n)) }
+	for _, slope := range results.Slopes {
+		sizes := slope.Sizes()
+		formatMedian := func(size float64) string { return fmt.Sprintf("%.0f: %.4g", size, slope.Median(size)) }
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%.3g +- %.2g\t%.3f\t%.2f +- %.2f\t%s\n",
-			s.Name, s.Of, s.Unit, at(sizes[0]), at(sizes[len(sizes)-1]),
-			s.Fit.Slope, s.Fit.SlopeMargin, s.Fit.ResidualDeviation,
-			s.Fit.Exponent, s.Fit.ExponentMargin, s.Fit.Verdict)
+			slope.Name, slope.Of, slope.Unit, formatMedian(sizes[0]), formatMedian(sizes[len(sizes)-1]),
+			slope.Fit.Slope, slope.Fit.SlopeMargin, slope.Fit.ResidualDeviation,
+			slope.Fit.Exponent, slope.Fit.ExponentMargin, slope.Fit.Verdict)
 	}
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	return writeResults(jsonPath, r)
+	return writeResults(jsonPath, results)
 }
--- a/cmd/brassmux/internal/cli/soak.go
+++ b/cmd/brassmux/internal/cli/soak.go
@@ -15,18 +15,18 @@
 	"brassmux/lab/rig"
 )
 
-// soakOptions are the flags of lab soak.
+// soakOptions holds the flags of the lab soak command.
 type soakOptions struct {
 	rig.Soak
 	firstSeed, seeds uint64
-	binary           string // the program to play; "" for this one
-	scenarioDir      string // for days that broke an invariant
+	binary           string // path of the program to test; "" for this program
+	scenarioDir      string // directory for the scenario files of days that violated an invariant
 	jsonPath         string
 }
 
 func newSoakCommand(stdout io.Writer) *cobra.Command {
-	var o soakOptions
-	c := &cobra.Command{
+	var options soakOptions
+	command := &cobra.Command{
 		Use:   "soak",
 		Short: "Draw days with several troubles at a time, play them with many processes, and count at the receivers",
 		Long: "soak draws a day for each seed: nodes, servers, clients that behave and clients that do not, and " +
@@ -37,64 +37,66 @@
 			"broken, or every play of a\nday was void.",
 		Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			if err := o.check(); err != nil {
+			if err := options.check(); err != nil {
 				return err
 			}
-			return asCommandError(runSoak(stdout, &o))
+			return asCommandError(runSoak(stdout, &options))
 		},
 	}
-	c.Flags().IntVar(&o.Nodes, "nodes", 16, "processes, at the most; a day has from half of them on")
-	c.Flags().DurationVar(&o.Length, "for", 15*time.Second, "length of a day")
-	c.Flags().Uint64Var(&o.firstSeed, "seed", 1, "the first seed")
-	c.Flags().Uint64Var(&o.seeds, "seeds", 5, "how many days to play")
-	c.Flags().StringVar(&o.binary, "binary", "",
+	command.Flags().IntVar(&options.Nodes, "nodes", 16, "processes, at the most; a day has from half of them on")
+	command.Flags().DurationVar(&options.Length, "for", 15*time.Second, "length of a day")
+	command.Flags().Uint64Var(&options.firstSeed, "seed", 1, "the first seed")
+	command.Flags().Uint64Var(&options.seeds, "seeds", 5, "how many days to play")
+	command.Flags().StringVar(&options.binary, "binary", "",
 		"the program to play, as an earlier build; this one where it is not named")
-	c.Flags().StringVar(&o.scenarioDir, "keep", ".", "the folder for scenario files of days that broke a rule")
-	c.Flags().StringVar(&o.jsonPath, "json", "", "write all results to this file")
-	return c
+	command.Flags().StringVar(&options.scenarioDir, "keep", ".",
+		"the folder for scenario files of days that broke a rule")
+	command.Flags().StringVar(&options.jsonPath, "json", "", "write all results to this file")
+	return command
 }
 
-// check returns an error for a flag that is out of range.
+// check returns an error if a flag is out of range.
 func (o *soakOptions) check() error {
 	switch {
 	case o.Nodes < 4 || o.Nodes > 100:
-		return fmt.Errorf("--nodes: %d is not 4 to 100", o.Nodes)
+		return fmt.Errorf("--nodes: %d is not between 4 and 100", o.Nodes)
 	case o.Length < 8*time.Second || o.Length > time.Hour:
-		return fmt.Errorf("--for: %v is not 8s to 1h", o.Length)
+		return fmt.Errorf("--for: %v is not between 8s and 1h", o.Length)
 	case o.seeds == 0 || o.seeds > 10000:
-		return fmt.Errorf("--seeds: %d is not 1 to 10000", o.seeds)
+		return fmt.Errorf("--seeds: %d is not between 1 and 10000", o.seeds)
 	}
 	return nil
 }
 
-// maxPlays bounds the plays of a day that are void, as where the machine was busy.
-const maxPlays = 3
+// maxRunsPerDay limits the runs of one day. A day is run again if its run was void, for example because the machine was
+// busy.
+const maxRunsPerDay = 3
 
 var errSoakFailed = errors.New("rules were broken, or days were void")
 
-// runSoak plays a day for each seed and prints what was counted.
-func runSoak(stdout io.Writer, o *soakOptions) error {
-	var all []*rig.Result
-	effective := map[string]int{} // days by event that had an effect
+// runSoak draws a day, which is a random scenario, for each seed, runs it and prints its counters.
+func runSoak(stdout io.Writer, options *soakOptions) error {
+	var allResults []*rig.Result
+	effectiveDays := map[string]int{} // number of days on which each kind of event had an effect
 	failed := false
-	for seed := o.firstSeed; seed < o.firstSeed+o.seeds; seed++ {
-		day := o.Draw(seed)
-		plays, err := playDay(day, seed, o.binary)
+	for seed := options.firstSeed; seed < options.firstSeed+options.seeds; seed++ {
+		day := options.Draw(seed)
+		dayResults, err := runDay(day, seed, options.binary)
 		if err != nil {
 			return err
 		}
-		all = append(all, plays...)
-		last := plays[len(plays)-1]
-		for i, e := range day.Events {
-			effective[e.Do] += min(last.Effects[i], 1)
+		allResults = append(allResults, dayResults...)
+		lastResult := dayResults[len(dayResults)-1]
+		for i, event := range day.Events {
+			effectiveDays[event.Do] += min(lastResult.Effects[i], 1)
 		}
-		if err := writeDay(stdout, o.scenarioDir, seed, day, last); err != nil {
+		if err := writeDay(stdout, options.scenarioDir, seed, day, lastResult); err != nil {
 			return err
 		}
-		failed = failed || last.Void != "" || last.Broken.Any()
+		failed = failed || lastResult.Void != "" || lastResult.Broken.Any()
 	}
-	fmt.Fprintf(stdout, "days by trouble that acted: %v\n", effective)
-	if err := writeResults(o.jsonPath, all); err != nil {
+	fmt.Fprintf(stdout, "days by trouble that acted: %v\n", effectiveDays)
+	if err := writeResults(options.jsonPath, allResults); err != nil {
 		return err
 	}
 	if failed {
@@ -103,49 +105,50 @@
 	return nil
 }
 
-// playDay plays a day until a play is not void, maxPlays times at most, and returns all plays.
-func playDay(day *rig.Scenario, seed uint64, binary string) (plays []*rig.Result, err error) {
-	for len(plays) < maxPlays {
-		r, err := rig.Run(day, rig.Options{Seed: seed, Binary: binary})
+// runDay runs a day until a run is valid, at most maxRunsPerDay times, and returns the results of all runs.
+func runDay(day *rig.Scenario, seed uint64, binary string) (results []*rig.Result, err error) {
+	for len(results) < maxRunsPerDay {
+		result, err := rig.Run(day, rig.Options{Seed: seed, Binary: binary})
 		if err != nil {
 			return nil, err
 		}
-		plays = append(plays, r)
-		if r.Void == "" {
+		results = append(results, result)
+		if result.Void == "" {
 			break
 		}
 	}
-	return plays, nil
+	return results, nil
 }
 
-// writeDay prints what was counted on a day. One that broke an invariant is written to dir as a scenario, too.
-func writeDay(stdout io.Writer, dir string, seed uint64, day *rig.Scenario, r *rig.Result) error {
+// writeDay prints the counters of a day. If the day violated an invariant, it also writes the day to dir as a scenario
+// file.
+func writeDay(stdout io.Writer, dir string, seed uint64, day *rig.Scenario, result *rig.Result) error {
 	var events []string
-	for _, e := range day.Events {
-		events = append(events, e.Do)
+	for _, event := range day.Events {
+		events = append(events, event.Do)
 	}
 	fmt.Fprintf(stdout, "seed %d: %d nodes, %d servers, served %.3f, up %d, late %.0f ms; %s\n", seed, day.Nodes,
-		day.Servers, r.Served, r.Totals["up"], r.Lateness, strings.Join(events, " "))
-	if r.Void != "" {
-		fmt.Fprintf(stdout, "  void: %s\n", r.Void)
+		day.Servers, result.Served, result.Totals["up"], result.Lateness, strings.Join(events, " "))
+	if result.Void != "" {
+		fmt.Fprintf(stdout, "  void: %s\n", result.Void)
 	}
-	if !r.Broken.Any() {
+	if !result.Broken.Any() {
 		return nil
 	}
 	path, err := writeScenario(dir, day)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(stdout, "  rules broken: %+v (%s)\n  %s\n", r.Broken, path, strings.Join(r.History, "\n  "))
+	fmt.Fprintf(stdout, "  rules broken: %+v (%s)\n  %s\n", result.Broken, path, strings.Join(result.History, "\n  "))
 	return nil
 }
 
-// writeScenario writes a day as a file that lab rig reads.
-func writeScenario(dir string, s *rig.Scenario) (path string, err error) {
-	text, err := toml.Marshal(s)
+// writeScenario writes a day as a scenario file for lab rig and returns its path.
+func writeScenario(dir string, scenario *rig.Scenario) (path string, err error) {
+	text, err := toml.Marshal(scenario)
 	if err != nil {
 		return "", err
 	}
-	path = filepath.Join(dir, s.Name+".toml")
+	path = filepath.Join(dir, scenario.Name+".toml")
 	return path, os.WriteFile(path, text, 0o644)
 }
--- a/cmd/brassmux/internal/cli/version.go
+++ b/cmd/brassmux/internal/cli/version.go
@@ -17,18 +17,18 @@
 	}
 }
 
-// version names the revision that the program was built from, as far as the build knew it.
+// version returns the version, the Go version and, if the build recorded it, the revision of the program.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "brassmux, of an unknown build"
 	}
 	text := "brassmux " + info.Main.Version + ", " + info.GoVersion
-	for _, s := range info.Settings {
+	for _, setting := range info.Settings {
 		switch {
-		case s.Key == "vcs.revision":
-			text += ", revision " + s.Value
-		case s.Key == "vcs.modified" && s.Value == "true":
+		case setting.Key == "vcs.revision":
+			text += ", revision " + setting.Value
+		case setting.Key == "vcs.modified" && setting.Value == "true":
 			text += " with changes"
 		}
 	}
