--- a/internal/knownred/list.go
+++ b/internal/knownred/list.go
@@ -6,44 +6,45 @@
 	"strings"
 )
 
-// maxListed is the number of tests that may be listed.
-const maxListed = 3
+// maxListedTests is the maximum number of tests that the list may contain.
+const maxListedTests = 3
 
-// knownFailure is a listed test.
+// knownFailure is a test that the list names as failing, and its outcomes in this run.
 type knownFailure struct {
-	line      string
-	pkg, name string // pkg may be the end of a path, or ""
-	outcomes  []outcome
+	line                  string
+	packagePath, testName string // packagePath may be the end of a path, or "" for any package
+	outcomes              []outcome
 }
 
-// outcome is the end of a test in a run.
-type outcome struct{ pkg, action string }
+// outcome is the result of a listed test in one package.
+type outcome struct{ packagePath, action string }
 
-// ListError reports a fault of the list.
+// ListError reports an invalid list.
 type ListError struct {
-	Line    int // from 1; 0 for the list itself
+	Line    int // starts at 1; 0 if the fault is not in a single line
 	Problem string
 }
 
 func (e *ListError) Error() string {
 	if e.Line == 0 {
-		return fmt.Sprintf("%s: %s", listName, e.Problem)
+		return fmt.Sprintf("%s: %s", listFile, e.Problem)
 	}
-	return fmt.Sprintf("%s, line %d: %s", listName, e.Line, e.Problem)
+	return fmt.Sprintf("%s, line %d: %s", listFile, e.Line, e.Problem)
 }
 
 var (
-	testForm    = regexp.MustCompile(`^(?:(?:\./)?([^\s,]*?[^\s,./])[. ])?((?:Test|Fuzz|Example)[^\s/]*(?:/\S+)?)$`)
-	commandForm = regexp.MustCompile(`^((?:go|bin/\S+) \S.*?)(?: \((?:seed \S+|(no seed))\))?$`)
-	seedForm    = regexp.MustCompile(`\(seed \S+\)$`)
-	seedFlag    = regexp.MustCompile(` --?seeds?[ =]`)
-	issueForm   = regexp.MustCompile(`^(?:issue )?#?[0-9]+$`)
+	testPattern     = regexp.MustCompile(`^(?:(?:\./)?([^\s,]*?[^\s,./])[. ])?((?:Test|Fuzz|Example)[^\s/]*(?:/\S+)?)$`)
+	commandPattern  = regexp.MustCompile(`^((?:go|bin/\S+) \S.*?)(?: \((?:seed \S+|(no seed))\))?$`)
+	seedPattern     = regexp.MustCompile(`\(seed \S+\)$`)
+	seedFlagPattern = regexp.MustCompile(` --?seeds?[ =]`)
+	issuePattern    = regexp.MustCompile(`^(?:issue )?#?[0-9]+$`)
 )
 
-// separator stands between the fields of a line. Names of tests have no blanks, and what was seen may contain it.
-const separator = ", "
+// fieldSeparator separates the fields of a line. Test names contain no blanks, so they cannot contain it. The field for
+// the observed failure may contain it.
+const fieldSeparator = ", "
 
-// parseList reads the list. It returns a *ListError for one with a fault. Empty lines are skipped.
+// parseList parses the list. It skips empty lines and returns a *ListError if the list is invalid.
 func parseList(text string) ([]*knownFailure, error) {
 	var list []*knownFailure
 	for i, line := range strings.Split(text, "\n") {
@@ -55,24 +56,24 @@
 			return nil, &ListError{Line: i + 1, Problem: fmt.Sprintf("%s: %q", problem, line)}
 		}
 		for _, other := range list {
-			if failure.covers(other.name) || other.covers(failure.name) {
-				return nil, &ListError{Line: i + 1, Problem: failure.name + " is listed twice"}
+			if failure.coversTest(other.testName) || other.coversTest(failure.testName) {
+				return nil, &ListError{Line: i + 1, Problem: failure.testName + " is listed twice"}
 			}
 		}
 		list = append(list, failure)
 	}
-	if len(list) > maxListed {
-		problem := fmt.Sprintf("%d tests are listed, %d are the most", len(list), maxListed)
+	if len(list) > maxListedTests {
+		problem := fmt.Sprintf("%d tests are listed, %d are the most", len(list), maxListedTests)
 		return nil, &ListError{Problem: problem}
 	}
 	return list, nil
 }
 
-// parseLine reads a line, or names what is missing in it.
+// parseLine parses a line of the list. If the line is invalid, it returns a description of the missing part.
 func parseLine(line string) (failure *knownFailure, problem string) {
-	fields := strings.Split(line, separator)
-	test := testForm.FindStringSubmatch(fields[0])
-	if test == nil {
+	fields := strings.Split(line, fieldSeparator)
+	testMatch := testPattern.FindStringSubmatch(fields[0])
+	if testMatch == nil {
 		return nil, "the name of a test is missing"
 	}
 	if len(fields) < 2 {
@@ -81,38 +82,38 @@
 	if problem := commandProblem(fields[1]); problem != "" {
 		return nil, problem
 	}
-	last := len(fields) - 1
-	if !issueForm.MatchString(fields[last]) {
+	lastField := len(fields) - 1
+	if !issuePattern.MatchString(fields[lastField]) {
 		return nil, "the number of an issue is missing"
 	}
-	if strings.TrimSpace(strings.Join(fields[2:last], "")) == "" {
+	if strings.TrimSpace(strings.Join(fields[2:lastField], "")) == "" {
 		return nil, "what was seen is missing"
 	}
-	return &knownFailure{line: line, pkg: test[1], name: test[2]}, ""
+	return &knownFailure{line: line, packagePath: testMatch[1], testName: testMatch[2]}, ""
 }
 
-// commandProblem names what is missing in the field with the command and its seed.
+// commandProblem describes the missing part of the field with the command and its seed, or returns "" if it is valid.
 func commandProblem(field string) string {
-	command := commandForm.FindStringSubmatch(field)
+	commandMatch := commandPattern.FindStringSubmatch(field)
 	switch {
-	case command == nil:
+	case commandMatch == nil:
 		return "the command is missing"
-	case seedForm.MatchString(field):
+	case seedPattern.MatchString(field):
 		return ""
-	case command[2] == "":
+	case commandMatch[2] == "":
 		return `the command's seed is missing, "(seed N)" or "(no seed)"`
-	case seedFlag.MatchString(command[1]):
-		return `the command has a seed, which "(seed N)" is to name`
+	case seedFlagPattern.MatchString(commandMatch[1]):
+		return `the command has a seed, which "(seed N)" must name`
 	}
 	return ""
 }
 
-// covers reports whether name is the listed test or a subtest of it.
-func (k *knownFailure) covers(name string) bool {
-	return name == k.name || strings.HasPrefix(name, k.name+"/")
+// coversTest reports whether name is the listed test or one of its subtests.
+func (f *knownFailure) coversTest(name string) bool {
+	return name == f.testName || strings.HasPrefix(name, f.testName+"/")
 }
 
-// isIn reports whether a package is the listed one, as far as the list names it.
-func (k *knownFailure) isIn(pkg string) bool {
-	return k.pkg == "" || pkg == k.pkg || strings.HasSuffix(pkg, "/"+k.pkg)
+// matchesPackage reports whether a package matches the listed package path, or the list gives no path.
+func (f *knownFailure) matchesPackage(pkg string) bool {
+	return f.packagePath == "" || pkg == f.packagePath || strings.HasSuffix(pkg, "/"+f.packagePath)
 }
--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -1,19 +1,20 @@
-// Knownred runs go test and passes over the failures of the tests that a list names, and of no others. It prints them:
+// Knownred runs go test and ignores the failures of the tests in a list of known failures, but no others. It prints the
+// ignored failures:
 //
 //	go run ./internal/knownred go test -race ./...
 //
-// The list is KNOWN-RED.txt in the working directory. Each line is a test, the command that shows its failure and the
-// command's seed, what was seen, and an issue, with ", " between them:
+// The list is KNOWN-RED.txt in the working directory. Each line has four fields, separated by ", ": a test, the command
+// that reproduces its failure with the command's seed, the observed failure, and an issue:
 //
 //	node.TestNoAnswerIsLost, go test ./node -run TestNoAnswerIsLost (seed 7), one answer is lost, issue 42
 //
-// A command that draws nothing by chance says "(no seed)". The test's package may be left out, or be written from the
-// module's root on. A listed test stands for its subtests; a subtest is listed as go test names it. The list has three
-// lines at most.
+// A command that uses no random numbers has "(no seed)". The package of the test is optional and may be a path relative
+// to the module's root. A listed test includes its subtests; a subtest is listed under the name that go test prints.
+// The list has at most three lines.
 //
-// The exit code is 0 where each listed test fails and all others pass, and else 1: for a failure that is not listed, a
-// data race, a build that fails, a process that ends before its tests do, a listed test that passes, is skipped, is
-// missing or exists twice, and a list with a fault.
+// The exit code is 0 if every listed test fails and all other tests pass. It is 1 for an unlisted failure, a data race,
+// a build failure, a test process that exits before its tests end, an invalid list, and a listed test that passes, is
+// skipped, is missing or exists in more than one package.
 package main
 
 import (
@@ -26,7 +27,7 @@
 	"slices"
 )
 
-const listName = "KNOWN-RED.txt"
+const listFile = "KNOWN-RED.txt"
 
 func main() {
 	if err := run(os.Args[1:], os.Stdout, os.Stderr); err != nil {
@@ -37,12 +38,12 @@
 
 var errUsage = errors.New("usage: knownred go test ARGUMENTS")
 
-// run carries out a go test command and returns an error unless it passes.
+// run executes a go test command and returns an error if it has problems other than listed failures.
 func run(args []string, stdout, stderr io.Writer) error {
 	if len(args) < 2 || args[0] != "go" || args[1] != "test" {
 		return errUsage
 	}
-	text, err := os.ReadFile(listName)
+	text, err := os.ReadFile(listFile)
 	if err != nil {
 		return err
 	}
@@ -52,7 +53,7 @@
 	}
 	cmd := exec.Command(args[0], slices.Insert(slices.Clone(args[1:]), 1, "-json")...)
 	cmd.Stderr = stderr
-	out, err := cmd.StdoutPipe()
+	events, err := cmd.StdoutPipe()
 	if err != nil {
 		return err
 	}
@@ -60,6 +61,6 @@
 		return err
 	}
 	c := newChecker(list, stdout)
-	c.readEvents(bufio.NewReader(out))
-	return c.verdict(cmd.Wait())
+	c.readEvents(bufio.NewReader(events))
+	return c.finish(cmd.Wait())
 }
--- a/internal/knownred/module_test.go
+++ b/internal/knownred/module_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// writeModule makes a small module the working directory. Files are by their paths; more are put over its own.
-func writeModule(t *testing.T, more map[string]string) {
+// writeModule writes a small module to a temporary directory and makes it the working directory. extraFiles maps paths
+// to texts and overrides the default files.
+func writeModule(t *testing.T, extraFiles map[string]string) {
 	t.Helper()
 	t.Chdir(t.TempDir())
 	environment := map[string]string{"GOFLAGS": "", "GOWORK": "off", "GOPROXY": "off", "GOTOOLCHAIN": "local"}
@@ -18,10 +19,10 @@
 	}
 	files := map[string]string{
 		"go.mod":      "module made\n\ngo 1.26\n",
-		"README.md":   "# made\n\n    test -z \"$(gofmt -l .)\" && " + plainCommand,
-		"a/a_test.go": faultyTests,
+		"README.md":   "# made\n\n    test -z \"$(gofmt -l .)\" && " + testCommand,
+		"a/a_test.go": failingTests,
 	}
-	maps.Copy(files, more)
+	maps.Copy(files, extraFiles)
 	for path, text := range files {
 		if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
 			t.Fatal(err)
@@ -32,10 +33,11 @@
 	}
 }
 
-// plainCommand is the part of the module's test command behind gofmt.
-const plainCommand = "go vet ./... && go test -race ./... && echo built it\n"
+// testCommand is the part of the module's test command that follows the gofmt check.
+const testCommand = "go vet ./... && go test -race ./... && echo built it\n"
 
-const faultyTests = `package a
+// failingTests is the default test file of the package a: one test passes, one fails and one is skipped.
+const failingTests = `package a
 
 import "testing"
 
@@ -46,11 +48,12 @@
 func TestSkipped(t *testing.T) { t.Skip("not here") }
 `
 
-// soundTests is the package a without its fault.
-const soundTests = "package a\n\nimport \"testing\"\n\nfunc TestGood(t *testing.T) {}\n"
+// passingTests is a test file of the package a without a failing test.
+const passingTests = "package a\n\nimport \"testing\"\n\nfunc TestGood(t *testing.T) {}\n"
 
-// subtests is the package a with a test of which two subtests fail. It runs a statement of its own, too.
-func subtests(statement string) string {
+// testWithSubtests returns a test file of the package a. Two subtests of its test fail, and the test itself also runs
+// statement.
+func testWithSubtests(statement string) string {
 	return `package a
 
 import "testing"
@@ -63,11 +66,13 @@
 `
 }
 
-// oneListed lists the faulty test of the package a.
-const oneListed = "made/a.TestRed, go test ./a -run TestRed (no seed), the cause, with words, issue 42\n"
+// listedTestRed is a list with the failing test of the package a.
+const listedTestRed = "made/a.TestRed, go test ./a -run TestRed (no seed), the cause, with words, issue 42\n"
 
-// rest is a line of the list behind the test's name.
-const rest = ", go test ./a -seed 3 (seed 3), what was seen, 42"
+// listedLineEnd is the part of a line of the list that follows the test's name.
+const listedLineEnd = ", go test ./a -seed 3 (seed 3), what was seen, 42"
 
-// listed lists tests.
-func listed(tests ...string) string { return strings.Join(tests, rest+"\n") + rest + "\n" }
+// listTests returns a list with the given tests.
+func listTests(tests ...string) string {
+	return strings.Join(tests, listedLineEnd+"\n") + listedLineEnd + "\n"
+}
--- a/internal/knownred/package.go
+++ b/internal/knownred/package.go
@@ -6,21 +6,21 @@
 	"strings"
 )
 
-// Ends of a test or of a package, by the names of go test -json.
+// Results of a test or a package, as go test -json names them.
 const (
 	actionPass = "pass"
 	actionFail = "fail"
 	actionSkip = "skip"
 )
 
-// testRun is what is known of a test, or of a package by itself.
+// testRun holds the result and the output of a test, or of a package outside its tests.
 type testRun struct {
-	action string   // its end; "" before it
+	action string   // the result; "" until the test ends
 	output []string // lines
 }
 
-// hasOwnOutput reports whether a failed test wrote anything but the lines that go test adds to each.
-func (t *testRun) hasOwnOutput(name string) bool {
+// hasExtraOutput reports whether a failed test has output other than the status lines that go test adds.
+func (t *testRun) hasExtraOutput(name string) bool {
 	for _, line := range t.output {
 		line = strings.TrimLeft(line, " ")
 		if !strings.HasPrefix(line, "=== ") && !strings.HasPrefix(line, "--- FAIL: "+name+" ") {
@@ -30,63 +30,66 @@
 	return false
 }
 
-// packageRun is what is known of a package and its tests.
+// packageRun holds the results and outputs of a package and its tests.
 type packageRun struct {
 	testRun
-	name  string
-	names []string // of its tests, in the order of their starts
-	tests map[string]*testRun
-	raced bool
+	name        string
+	testNames   []string // in the order in which the tests started
+	tests       map[string]*testRun
+	hasDataRace bool
 }
 
 func newPackageRun(name string) *packageRun {
 	return &packageRun{name: name, tests: map[string]*testRun{}}
 }
 
-// test returns the test with a name, or the package itself for "".
+// test returns the run of the named test, which it adds if necessary, or the run of the package if name is empty.
 func (p *packageRun) test(name string) *testRun {
 	if name == "" {
 		return &p.testRun
 	}
-	t := p.tests[name]
-	if t == nil {
-		t = &testRun{}
-		p.tests[name] = t
-		p.names = append(p.names, name)
+	test := p.tests[name]
+	if test == nil {
+		test = &testRun{}
+		p.tests[name] = test
+		p.testNames = append(p.testNames, name)
 	}
-	return t
+	return test
 }
 
-func (p *packageRun) anyTestFailed() bool {
-	for _, t := range p.tests {
-		if t.action == actionFail {
+func (p *packageRun) hasFailedTest() bool {
+	for _, test := range p.tests {
+		if test.action == actionFail {
 			return true
 		}
 	}
 	return false
 }
 
-// isComplete reports whether a failed test process came to its end. Then its last two lines say so, and no more; after
-// a panic or an exit in a test they are missing, and other tests may not have run.
+// isComplete reports whether the test process of a failed package ran all its tests. Its output then ends with the line
+// "FAIL" and a line with "FAIL", the package and the duration. After a panic or an exit in a test these lines are
+// missing, and other tests may not have run.
 func (p *packageRun) isComplete() bool {
-	n := len(p.output)
-	return n >= 2 && p.output[n-2] == "FAIL\n" && strings.HasPrefix(p.output[n-1], "FAIL\t"+p.name+"\t")
+	lineCount := len(p.output)
+	return lineCount >= 2 && p.output[lineCount-2] == "FAIL\n" &&
+		strings.HasPrefix(p.output[lineCount-1], "FAIL\t"+p.name+"\t")
 }
 
-// write writes the output of failed tests, and the package's own where it was not passed over.
-func (p *packageRun) write(out io.Writer, passedOver bool) {
+// write writes the output of tests that failed or did not end, and the output of the package unless its failure is
+// ignored.
+func (p *packageRun) write(out io.Writer, ignored bool) {
 	prefix := ""
-	if passedOver {
+	if ignored {
 		prefix = "known red | "
 	}
-	for _, name := range p.names {
-		if t := p.tests[name]; t.action == actionFail || t.action == "" {
-			for _, line := range t.output {
+	for _, name := range p.testNames {
+		if test := p.tests[name]; test.action == actionFail || test.action == "" {
+			for _, line := range test.output {
 				io.WriteString(out, prefix+line)
 			}
 		}
 	}
-	if passedOver {
+	if ignored {
 		fmt.Fprintf(out, "known red only\t%s\n", p.name)
 		return
 	}
--- a/internal/knownred/script_test.go
+++ b/internal/knownred/script_test.go
@@ -9,12 +9,12 @@
 	"testing"
 )
 
-// scriptCase is a run of .ci/run on a module.
+// scriptCase is a run of the script .ci/run on a module.
 type scriptCase struct {
-	name        string
-	files       map[string]string
-	passes      bool
-	has, hasNot []string // of the output
+	name            string
+	files           map[string]string
+	wantPass        bool
+	contains, omits []string // texts that the output must have and must not have
 }
 
 const racingTest = `package a
@@ -32,42 +32,43 @@
 
 const vetFault = "package b\n\nimport \"fmt\"\n\nfunc F() { fmt.Printf(\"%d\", \"b\") }\n"
 
-// ends are the last lines of a run that passes.
-var ends = []string{"\nbuilt it", "all checks"}
+// successOutput holds the texts that only a passing run prints.
+var successOutput = []string{"\nbuilt it", "all checks"}
 
 var scriptCases = []scriptCase{
-	{"none listed", map[string]string{"a/a_test.go": soundTests}, true,
-		[]string{plainCommand, "ok  \tmade/a", "\nbuilt it\nall checks passed\n"}, []string{"passed,"}},
-	{"none listed and a fault", nil, false,
-		[]string{plainCommand, "--- FAIL: TestRed", "FAIL\tmade/a"}, ends},
-	{"an empty list and a fault", map[string]string{listName: "\n \n"}, false,
-		[]string{plainCommand, "--- FAIL: TestRed"}, ends},
-	{"a listed fault", map[string]string{listName: oneListed}, true,
-		[]string{"\nknown red | --- FAIL: TestRed", "\nok  \tmade/b", "passed over: " + oneListed,
+	{"none listed", map[string]string{"a/a_test.go": passingTests}, true,
+		[]string{testCommand, "ok  \tmade/a", "\nbuilt it\nall checks passed\n"}, []string{"passed,"}},
+	{"none listed and a failure", nil, false,
+		[]string{testCommand, "--- FAIL: TestRed", "FAIL\tmade/a"}, successOutput},
+	{"an empty list and a failure", map[string]string{listFile: "\n \n"}, false,
+		[]string{testCommand, "--- FAIL: TestRed"}, successOutput},
+	{"a listed failure", map[string]string{listFile: listedTestRed}, true,
+		[]string{"\nknown red | --- FAIL: TestRed", "\nok  \tmade/b", "passed over: " + listedTestRed,
 			"\n2 passed, 0 failed\nbuilt it\nall checks passed\n"},
 		[]string{"\nFAIL", "\n--- FAIL"}},
-	{"unformatted", map[string]string{listName: oneListed, "b/b.go": "package   b\n"}, false,
-		nil, append([]string{"known red"}, ends...)},
-	{"what vet finds", map[string]string{listName: oneListed, "b/b.go": vetFault}, false,
-		[]string{"Printf format %d"}, ends},
-	{"a race in the listed test", map[string]string{listName: oneListed, "a/a_test.go": racingTest}, false,
-		[]string{"made/a: a data race"}, ends},
+	{"an unformatted file", map[string]string{listFile: listedTestRed, "b/b.go": "package   b\n"}, false,
+		nil, append([]string{"known red"}, successOutput...)},
+	{"a finding of vet", map[string]string{listFile: listedTestRed, "b/b.go": vetFault}, false,
+		[]string{"Printf format %d"}, successOutput},
+	{"a race in the listed test", map[string]string{listFile: listedTestRed, "a/a_test.go": racingTest}, false,
+		[]string{"made/a: a data race"}, successOutput},
 }
 
-// All of .ci/run, on small modules.
-func TestScriptPassesOverListedTestsOnly(t *testing.T) {
+// Runs .ci/run as CI does, on small modules. Guards against a script that passes despite an unlisted failure, a data
+// race or a finding of gofmt or vet, or fails because of a listed test.
+func TestScriptIgnoresOnlyListedFailures(t *testing.T) {
 	files := scriptFiles(t)
 	for _, c := range scriptCases {
 		t.Run(c.name, func(t *testing.T) {
-			all := maps.Clone(files)
-			maps.Copy(all, c.files)
-			writeModule(t, all)
+			moduleFiles := maps.Clone(files)
+			maps.Copy(moduleFiles, c.files)
+			writeModule(t, moduleFiles)
 			c.check(t)
 		})
 	}
 }
 
-// scriptFiles returns the script, this program and a package that passes, by their paths.
+// scriptFiles returns the script, the sources of knownred and a package that passes, by path.
 func scriptFiles(t *testing.T) map[string]string {
 	t.Helper()
 	script, err := os.ReadFile("../../.ci/run")
@@ -76,7 +77,7 @@
 	}
 	files := map[string]string{
 		".ci/run":     string(script),
-		"b/b_test.go": strings.Replace(soundTests, "package a", "package b", 1),
+		"b/b_test.go": strings.Replace(passingTests, "package a", "package b", 1),
 	}
 	names, err := filepath.Glob("*.go")
 	if err != nil {
@@ -98,33 +99,33 @@
 // check runs the script in the working directory.
 func (c *scriptCase) check(t *testing.T) {
 	t.Helper()
-	out, err := exec.Command("./.ci/run").CombinedOutput()
-	if (err == nil) != c.passes {
-		t.Errorf("%v", err)
+	output, err := exec.Command("./.ci/run").CombinedOutput()
+	if (err == nil) != c.wantPass {
+		t.Errorf("got the wrong exit status of the script: %v", err)
 	}
-	for _, want := range c.has {
-		if !strings.Contains(string(out), want) {
-			t.Errorf("%q is not in the output", want)
+	for _, want := range c.contains {
+		if !strings.Contains(string(output), want) {
+			t.Errorf("the output does not contain %q", want)
 		}
 	}
-	for _, unwanted := range c.hasNot {
-		if strings.Contains(string(out), unwanted) {
-			t.Errorf("%q is in the output", unwanted)
+	for _, unwanted := range c.omits {
+		if strings.Contains(string(output), unwanted) {
+			t.Errorf("the output must not contain %q", unwanted)
 		}
 	}
 	if t.Failed() {
-		t.Logf("%s", out)
+		t.Logf("%s", output)
 	}
 }
 
-// Guards against a README whose command is not the one that .ci/run takes apart.
-func TestScriptTakesTheReadmesCommandApart(t *testing.T) {
+// Guards against a README whose test command has another form than .ci/run can split.
+func TestReadmeTestCommandHasScriptForm(t *testing.T) {
 	text, err := os.ReadFile("../../README.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, behind, _ := strings.Cut(string(text), "go test -race")
-	if !strings.HasPrefix(behind, " ./... && ") || strings.Contains(behind, "go test -race") {
-		t.Error("the README's test command has another form")
+	_, arguments, _ := strings.Cut(string(text), "go test -race")
+	if !strings.HasPrefix(arguments, " ./... && ") || strings.Contains(arguments, "go test -race") {
+		t.Error("the README does not have exactly one command with \"go test -race ./... && \"")
 	}
 }
