--- a/internal/lintcheck/main.go
+++ b/internal/lintcheck/main.go
@@ -1,12 +1,12 @@
-// Lintcheck runs revive on the whole module and holds its findings to lint-baseline.txt, the list of packages that do
-// not pass yet:
+// Lintcheck runs revive on all packages of the module and compares the findings with lint-baseline.txt, the list of
+// packages that do not pass yet:
 //
 //	go run ./internal/lintcheck
 //	go run ./internal/lintcheck -update
 //
-// A line of the list is a package, a rule and the most findings of that rule the package may have. The check fails
-// where a package has more findings than its line allows, or any without a line; it prints the lines that could be
-// lowered. With -update it lowers these lines in the file, and never raises one.
+// Each line of the list has a package, a rule and the maximum number of findings of that rule in the package. The check
+// fails if a package has more findings than its line allows, or findings without a line. It also prints the lines whose
+// number could be lowered. With -update it lowers these numbers in the file, but never raises one.
 package main
 
 import (
@@ -22,8 +22,8 @@
 )
 
 const (
-	baselineName = "lint-baseline.txt"
-	configName   = "revive.toml"
+	baselineFile = "lint-baseline.txt"
+	configFile   = "revive.toml"
 )
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
@@ -31,7 +31,7 @@
 func run(args []string, stdout, stderr io.Writer) int {
 	flags := flag.NewFlagSet("lintcheck", flag.ContinueOnError)
 	flags.SetOutput(stderr)
-	update := flags.Bool("update", false, "lower the lines of "+baselineName+" to today's findings")
+	update := flags.Bool("update", false, "lower the lines of "+baselineFile+" to today's findings")
 	if err := flags.Parse(args); err != nil {
 		return 2
 	}
@@ -43,7 +43,7 @@
 }
 
 func check(update bool, stdout io.Writer) error {
-	text, err := os.ReadFile(baselineName)
+	text, err := os.ReadFile(baselineFile)
 	if err != nil {
 		return err
 	}
@@ -60,7 +60,7 @@
 		fmt.Fprintln(stdout, line)
 	}
 	if update {
-		if err := os.WriteFile(baselineName, []byte(report.lowered.format()), 0o644); err != nil {
+		if err := os.WriteFile(baselineFile, []byte(report.lowered.format()), 0o644); err != nil {
 			return err
 		}
 	} else {
@@ -69,12 +69,12 @@
 		}
 	}
 	if len(report.excess) > 0 {
-		return errors.New("findings that " + baselineName + " does not allow")
+		return errors.New("there are more findings than " + baselineFile + " allows")
 	}
 	return nil
 }
 
-// finding is one report of revive, in the fields that matter here.
+// finding is one finding of revive, reduced to the fields that are needed here.
 type finding struct {
 	RuleName string
 	Failure  string
@@ -86,8 +86,8 @@
 	}
 }
 
-func (f finding) key() key {
-	return key{pkg: path.Dir(f.Position.Start.Filename), rule: f.RuleName}
+func (f finding) key() ruleInPackage {
+	return ruleInPackage{packagePath: path.Dir(f.Position.Start.Filename), rule: f.RuleName}
 }
 
 func (f finding) String() string {
@@ -96,17 +96,17 @@
 }
 
 func runRevive() ([]finding, error) {
-	cmd := exec.Command("go", "tool", "revive", "-config", configName, "-formatter", "json", "./...")
+	cmd := exec.Command("go", "tool", "revive", "-config", configFile, "-formatter", "json", "./...")
 	var stderr bytes.Buffer
 	cmd.Stderr = &stderr
-	out, err := cmd.Output() // revive exits with an error where it has findings
-	var exit *exec.ExitError
-	if err != nil && !errors.As(err, &exit) {
+	output, err := cmd.Output() // revive exits with an error if it has findings
+	var exitErr *exec.ExitError
+	if err != nil && !errors.As(err, &exitErr) {
 		return nil, err
 	}
 	var findings []finding
-	if err := json.Unmarshal(out, &findings); err != nil {
-		return nil, fmt.Errorf("revive: %w: %s%s", err, out, stderr.Bytes())
+	if err := json.Unmarshal(output, &findings); err != nil {
+		return nil, fmt.Errorf("revive: %w: %s%s", err, output, stderr.Bytes())
 	}
 	return findings, nil
 }
