--- a/internal/glossary/glossary.go
+++ b/internal/glossary/glossary.go
@@ -1,5 +1,5 @@
-// Package glossary reads docs/glossary.md, the table of names that have given way to the field's terms. Its test fails
-// where a package that the page marks as done still uses an old name in a Go identifier, a file name or a log line.
+// Package glossary parses docs/glossary.md, the tables of names that were replaced by standard terms. Its test fails if
+// a package that the page lists as done still uses an old name in a Go identifier, a file name or a log line.
 package glossary
 
 import (
@@ -16,69 +16,70 @@
 	"unicode"
 )
 
-// doneHeading is the section that lists the packages whose names are held to the page.
-const doneHeading = "Packages that are done"
+// donePackagesHeading is the heading of the section that lists the packages to check.
+const donePackagesHeading = "Packages that are done"
 
-// Glossary is the page in the form that the check needs.
+// Glossary holds the parsed page.
 type Glossary struct {
-	Done  []string // directories of packages, from the module's root
-	Terms []Term
+	DonePackages []string // package directories, relative to the module's root
+	Terms        []Term
 }
 
-// Term is an old name.
+// Term is an old name that must not be used.
 type Term struct {
-	Name       string   // an identifier, or words in lower case with blanks between them
-	Identifier bool     // Name is matched as a whole, in its own case; otherwise it is matched word by word
-	Packages   []string // where the name is old; empty for everywhere
+	Name       string   // an identifier, or lower-case words separated by blanks
+	Identifier bool     // Name must equal an identifier, including case; otherwise it is matched word by word
+	Packages   []string // packages to which the term applies; empty for all
 }
 
 var (
-	headingForm = regexp.MustCompile(`^##+ (.*)$`)
-	codeForm    = regexp.MustCompile("`([^`]+)`")
+	headingPattern   = regexp.MustCompile(`^##+ (.*)$`)
+	backquotePattern = regexp.MustCompile("`([^`]+)`")
 )
 
-// columnsLeast is the number of parts that a row with two columns has between its bars.
-const columnsLeast = 4
+// minRowParts is the number of parts into which the bars split a table row with two columns.
+const minRowParts = 4
 
-// Parse reads the page. Below the heading "Packages that are done" each line with a name in backquotes adds a package.
-// Below other headings the first column of each table holds old names with commas between them: one in backquotes is an
-// identifier, any other is a word or several. Directories in backquotes in such a heading bound where its names are
-// old.
+// Parse parses the page. Below the heading "Packages that are done" each name in backquotes is a package. Below other
+// headings the first column of each table holds old names, separated by commas: a name in backquotes is an identifier,
+// any other name consists of one or more words. Package directories in backquotes in such a heading limit its terms to
+// these packages.
 func Parse(page string) *Glossary {
 	g := &Glossary{}
 	var heading string
 	for _, line := range strings.Split(page, "\n") {
-		if match := headingForm.FindStringSubmatch(line); match != nil {
+		if match := headingPattern.FindStringSubmatch(line); match != nil {
 			heading = match[1]
 			continue
 		}
-		if heading == doneHeading {
-			g.Done = append(g.Done, quoted(line)...)
+		if heading == donePackagesHeading {
+			g.DonePackages = append(g.DonePackages, backquotedNames(line)...)
 			continue
 		}
-		g.Terms = append(g.Terms, parseRow(line, quoted(heading))...)
+		g.Terms = append(g.Terms, parseRow(line, backquotedNames(heading))...)
 	}
 	return g
 }
 
-func quoted(text string) (names []string) {
-	for _, match := range codeForm.FindAllStringSubmatch(text, -1) {
+// backquotedNames returns the texts between backquotes.
+func backquotedNames(text string) (names []string) {
+	for _, match := range backquotePattern.FindAllStringSubmatch(text, -1) {
 		names = append(names, match[1])
 	}
 	return names
 }
 
-// parseRow reads the first column of a table's row. Rows of headers and rules have no names.
+// parseRow returns the terms in the first column of a table row. Header and separator rows have none.
 func parseRow(line string, packages []string) (terms []Term) {
 	cells := strings.Split(line, "|")
-	isRow := len(cells) >= columnsLeast && cells[0] == ""
+	isRow := len(cells) >= minRowParts && cells[0] == ""
 	if !isRow || strings.HasPrefix(cells[1], " old") || strings.Contains(cells[1], "---") {
 		return nil
 	}
 	for _, name := range strings.Split(cells[1], ",") {
 		name = strings.TrimSpace(name)
-		if code := quoted(name); len(code) == 1 {
-			terms = append(terms, Term{Name: code[0], Identifier: true, Packages: packages})
+		if quoted := backquotedNames(name); len(quoted) == 1 {
+			terms = append(terms, Term{Name: quoted[0], Identifier: true, Packages: packages})
 		} else if name != "" {
 			terms = append(terms, Term{Name: strings.ToLower(name), Packages: packages})
 		}
@@ -86,12 +87,12 @@
 	return terms
 }
 
-// covers tells whether the name is old in a package.
-func (t Term) covers(pkg string) bool {
+// appliesTo reports whether the term applies to a package.
+func (t Term) appliesTo(pkg string) bool {
 	return len(t.Packages) == 0 || slices.Contains(t.Packages, pkg)
 }
 
-// matches tells whether a text of code uses the old name.
+// matches reports whether an identifier, a file name or a message uses the old name.
 func (t Term) matches(text string) bool {
 	if t.Identifier {
 		return text == t.Name
@@ -99,7 +100,7 @@
 	return strings.Contains(" "+strings.Join(splitWords(text), " ")+" ", " "+t.Name+" ")
 }
 
-// splitWords cuts an identifier, a file name or a message into its words, in lower case.
+// splitWords splits an identifier, a file name or a message into lower-case words.
 func splitWords(text string) (words []string) {
 	var word []rune
 	flush := func() {
@@ -123,19 +124,20 @@
 	return words
 }
 
-// startsWord tells whether a capital begins a word: after a small letter, or as the last of several capitals.
+// startsWord reports whether the rune at i is a capital letter that starts a word: it either does not follow a capital
+// letter, or precedes a lower-case letter, as the last of several capitals.
 func startsWord(runes []rune, i int) bool {
 	if !unicode.IsUpper(runes[i]) {
 		return false
 	}
-	afterSmall := i == 0 || !unicode.IsUpper(runes[i-1])
-	beforeSmall := i+1 < len(runes) && unicode.IsLower(runes[i+1])
-	return afterSmall || beforeSmall
+	afterNonCapital := i == 0 || !unicode.IsUpper(runes[i-1])
+	beforeLowercase := i+1 < len(runes) && unicode.IsLower(runes[i+1])
+	return afterNonCapital || beforeLowercase
 }
 
-// Use is a place where an old name stands.
+// Use is an occurrence of an old name.
 type Use struct {
-	Position string // a file and a line, or a file
+	Position string // file, line and column, or only the file if its name is the text
 	Text     string // the identifier, file name or log message
 	Term     Term
 }
@@ -144,10 +146,10 @@
 	return fmt.Sprintf("%s: %q uses the old name %q", u.Position, u.Text, u.Term.Name)
 }
 
-// Check reads the Go files of each package that is done, below root, and returns the uses of old names in declared
-// identifiers, file names, and messages and keys of log lines.
+// Check parses the Go files of all packages in DonePackages, relative to root. It returns the uses of old names in
+// declared identifiers, file names, and the messages and keys of log lines.
 func (g *Glossary) Check(root string) (uses []Use, err error) {
-	for _, pkg := range g.Done {
+	for _, pkg := range g.DonePackages {
 		files, err := filepath.Glob(filepath.Join(root, filepath.FromSlash(pkg), "*.go"))
 		if err != nil {
 			return nil, err
@@ -166,26 +168,27 @@
 	return uses, nil
 }
 
-func (g *Glossary) checkFile(pkg, file string) (uses []Use, err error) {
-	set := token.NewFileSet()
-	tree, err := parser.ParseFile(set, file, nil, parser.SkipObjectResolution)
+// checkFile returns the uses of old names in a Go file and in its file name.
+func (g *Glossary) checkFile(pkg, filePath string) (uses []Use, err error) {
+	fileSet := token.NewFileSet()
+	syntaxTree, err := parser.ParseFile(fileSet, filePath, nil, parser.SkipObjectResolution)
 	if err != nil {
 		return nil, err
 	}
 	check := func(position, text string) {
 		for _, term := range g.Terms {
-			if term.covers(pkg) && term.matches(text) {
+			if term.appliesTo(pkg) && term.matches(text) {
 				uses = append(uses, Use{Position: position, Text: text, Term: term})
 			}
 		}
 	}
-	check(file, strings.TrimSuffix(path.Base(filepath.ToSlash(file)), ".go"))
-	ast.Inspect(tree, func(n ast.Node) bool {
+	check(filePath, strings.TrimSuffix(path.Base(filepath.ToSlash(filePath)), ".go"))
+	ast.Inspect(syntaxTree, func(n ast.Node) bool {
 		for _, name := range declaredNames(n) {
-			check(set.Position(name.Pos()).String(), name.Name)
+			check(fileSet.Position(name.Pos()).String(), name.Name)
 		}
 		if text := logText(n); text != "" {
-			check(set.Position(n.Pos()).String(), text)
+			check(fileSet.Position(n.Pos()).String(), text)
 		}
 		return true
 	})
@@ -215,8 +218,9 @@
 	return nil
 }
 
-func identifiers(list ...ast.Expr) (names []*ast.Ident) {
-	for _, expr := range list {
+// identifiers returns the expressions that are identifiers.
+func identifiers(expressions ...ast.Expr) (names []*ast.Ident) {
+	for _, expr := range expressions {
 		if name, ok := expr.(*ast.Ident); ok {
 			names = append(names, name)
 		}
@@ -224,12 +228,13 @@
 	return names
 }
 
-// logMethods are the methods of a logger, and zapPackage makes the fields of its lines.
+// logMethods lists the logger methods whose first argument is a message. The functions of zapPackage take the key of a
+// log field as their first argument.
 var logMethods = []string{"Debug", "Info", "Warn", "Error", "Fatal"}
 
 const zapPackage = "zap"
 
-// logText returns the message of a log line, or the key of one of its fields; "" for any other node.
+// logText returns the message of a logging call or the key of a log field, or "" for any other node.
 func logText(n ast.Node) string {
 	call, ok := n.(*ast.CallExpr)
 	if !ok || len(call.Args) == 0 {
@@ -239,8 +244,8 @@
 	if !ok {
 		return ""
 	}
-	of, _ := method.X.(*ast.Ident)
-	if !slices.Contains(logMethods, method.Sel.Name) && (of == nil || of.Name != zapPackage) {
+	receiver, _ := method.X.(*ast.Ident)
+	if !slices.Contains(logMethods, method.Sel.Name) && (receiver == nil || receiver.Name != zapPackage) {
 		return ""
 	}
 	text, ok := call.Args[0].(*ast.BasicLit)
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden compares what a test produced with a file of its package's testdata folder. The files hold what other
-// programs and other versions read, so no run of a test ever writes them.
+// Package golden compares the output of a test with a golden file in the testdata directory of the test's package. The
+// golden files hold formats that other programs and other versions read, so tests never write them.
 package golden
 
 import (
@@ -9,25 +9,25 @@
 	"testing"
 )
 
-const folder = "testdata"
+const testdataDir = "testdata"
 
-// Read returns a golden file's text.
+// Read returns the text of a golden file.
 func Read(t testing.TB, name string) string {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join(folder, name))
+	text, err := os.ReadFile(filepath.Join(testdataDir, name))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return string(text)
 }
 
-// Lines returns the lines of a golden file, without their ends.
+// Lines returns the lines of a golden file without line endings.
 func Lines(t testing.TB, name string) []string {
 	t.Helper()
 	return strings.Split(strings.TrimSuffix(Read(t, name), "\n"), "\n")
 }
 
-// Check fails the test where a text is not byte for byte that of a golden file.
+// Check fails the test if got differs from the golden file in any byte, and prints the first line that differs.
 func Check(t testing.TB, name, got string) {
 	t.Helper()
 	want := Read(t, name)
@@ -36,8 +36,8 @@
 	}
 	gotLines, wantLines := strings.SplitAfter(got, "\n"), strings.SplitAfter(want, "\n")
 	for i := range max(len(gotLines), len(wantLines)) {
-		if a, b := lineAt(gotLines, i), lineAt(wantLines, i); a != b {
-			t.Fatalf("%s, line %d:\ngot  %q\nwant %q", name, i+1, a, b)
+		if gotLine, wantLine := lineAt(gotLines, i), lineAt(wantLines, i); gotLine != wantLine {
+			t.Fatalf("%s, line %d:\ngot  %q\nwant %q", name, i+1, gotLine, wantLine)
 		}
 	}
 }
--- a/internal/outernames/outernames.go
+++ b/internal/outernames/outernames.go
@@ -1,6 +1,6 @@
-// Package outernames holds the list of names that other programs, other versions or operators read: keys of JSON,
-// CBOR and TOML, words of the protocols, texts of log lines that operators search for, and counters. Its test fails
-// when the code no longer has one of them.
+// Package outernames checks a list of external names, which other programs, other versions or operators read: keys of
+// JSON, CBOR and TOML, words of the protocols, messages of log lines that operators search for, and counters. Its test
+// fails if the code no longer contains one of them.
 package outernames
 
 import (
@@ -17,34 +17,36 @@
 	"strings"
 )
 
-// Kind says where the code has a name.
+// Kind is the kind of place in the code where a name occurs.
 type Kind string
 
-// The kinds of names. A name of the kinds JSON, CBOR and TOML is the value of a struct tag with that key.
+// Kinds of names. A name of kind JSON, CBOR or TOML is the value of a struct tag with that key.
 const (
 	JSON Kind = "json"
 	CBOR Kind = "cbor"
 	TOML Kind = "toml"
-	// Text is a word of a string literal that has one or two words. Longer literals are prose.
+	// Text is a word of a string literal with at most two words. Longer literals are prose.
 	Text Kind = "text"
-	// Message is a whole string literal.
+	// Message is a complete string literal.
 	Message Kind = "message"
-	// Field is a struct field that is encoded without a tag, under its own name: a directory, a space and the field.
+	// Field is a struct field without a tag, which is encoded under its Go name. It is written as the package
+	// directory, a space and the field.
 	Field Kind = "field"
-	// Golden is a name that the program composes at run time: a golden file, a space and the first word of a line.
+	// Golden is a name that the program composes at run time. It is written as the path of a golden file, a space
+	// and the first word of a line of that file.
 	Golden Kind = "golden"
 )
 
 var kinds = []Kind{JSON, CBOR, TOML, Text, Message, Field, Golden}
 
-// Name is one entry of the list.
+// Name is an entry of the list.
 type Name struct {
 	Kind  Kind
 	Value string
 }
 
-// Parse reads a list with a kind, a space and a name on each line. Empty lines are skipped. A message is quoted as a
-// Go string.
+// Parse parses a list with a kind, a space and a name on each line. It skips empty lines. A message is quoted as a Go
+// string.
 func Parse(list string) ([]Name, error) {
 	var names []Name
 	for i, line := range strings.Split(list, "\n") {
@@ -53,7 +55,7 @@
 		}
 		kind, value, _ := strings.Cut(line, " ")
 		if !slices.Contains(kinds, Kind(kind)) || value == "" {
-			return nil, fmt.Errorf("line %d: %q is not a kind and a name", i+1, line)
+			return nil, fmt.Errorf("line %d: want a kind and a name, got %q", i+1, line)
 		}
 		name := Name{Kind: Kind(kind), Value: value}
 		if name.Kind == Message {
@@ -71,17 +73,18 @@
 	return names, nil
 }
 
-// Set is the names that the code has.
+// Set is a set of names that occur in the code.
 type Set map[Name]bool
 
-// skippedDirectories hold no code of the programs. This package is one of them, since it names the kinds.
+// skippedDirectories lists the directories that Collect ignores, because they contain no code of the programs. This
+// package is skipped because the names of the kinds in it would count as names.
 var skippedDirectories = []string{".git", "journal", "bin", "outernames"}
 
-// maxTextWords bounds the literals whose words count as names.
+// maxTextWords is the maximum number of words in a string literal whose words count as names.
 const maxTextWords = 2
 
-// Collect returns the names in all Go files below root that are not tests, and in the golden files, whose paths are
-// relative to root. Errors are those of reading and parsing the files.
+// Collect returns the names in all Go files below root except test files, and in the golden files, whose paths are
+// relative to root. It returns an error if a file cannot be read or parsed.
 func Collect(root string, goldenFiles []string) (Set, error) {
 	set := Set{}
 	err := filepath.WalkDir(root, func(file string, entry fs.DirEntry, err error) error {
@@ -118,7 +121,7 @@
 			return false
 		case *ast.Field:
 			s.addField(n, directory)
-			n.Tag = nil // otherwise the walk takes the tag for a text
+			n.Tag = nil // otherwise Inspect would visit the tag as a string literal
 		case *ast.BasicLit:
 			s.addLiteral(n)
 		}
@@ -173,7 +176,7 @@
 	return nil
 }
 
-// GoldenFiles returns the files that names of the kind Golden refer to.
+// GoldenFiles returns the paths of the files to which the names of kind Golden refer.
 func GoldenFiles(names []Name) []string {
 	var files []string
 	for _, name := range names {
@@ -185,7 +188,7 @@
 	return files
 }
 
-// Missing returns the names that the set lacks.
+// Missing returns the names that are not in the set.
 func (s Set) Missing(names []Name) []Name {
 	return slices.DeleteFunc(slices.Clone(names), func(name Name) bool { return s[name] })
 }
--- a/internal/outernames/outernames_test.go
+++ b/internal/outernames/outernames_test.go
@@ -8,9 +8,9 @@
 
 const moduleRoot = "../.."
 
-// TestOuterNamesAreKept guards against a rename that changes what another program, another version or an operator's
-// search expects to read.
-func TestOuterNamesAreKept(t *testing.T) {
+// Guards against a rename that changes a name which another program, another version or the search of an operator
+// expects.
+func TestCodeHasListedNames(t *testing.T) {
 	list, err := os.ReadFile("testdata/names.txt")
 	if err != nil {
 		t.Fatal(err)
@@ -31,16 +31,17 @@
 	}
 }
 
-func TestParse(t *testing.T) {
-	for _, faulty := range []string{"json", "json ", "word x", "message x", "json x\njson x"} {
-		if names, err := Parse(faulty); err == nil {
-			t.Errorf("Parse(%q) = %v, want an error", faulty, names)
+// An invalid or repeated line must be an error, so that no name goes unchecked.
+func TestParseRejectsInvalidLists(t *testing.T) {
+	for _, invalid := range []string{"json", "json ", "word x", "message x", "json x\njson x"} {
+		if names, err := Parse(invalid); err == nil {
+			t.Errorf("Parse(%q) = %v, want an error", invalid, names)
 		}
 	}
 }
 
-// TestEachKindIsFound checks that a name of each kind is found where the code has it, and missing elsewhere.
-func TestEachKindIsFound(t *testing.T) {
+// A name of each kind must be found where it occurs, and must be missing under any other kind.
+func TestCollectFindsEachKind(t *testing.T) {
 	root := t.TempDir()
 	source := `package p
 
