--- a/cmd/brassmux/internal/cli/rig.go
+++ b/cmd/brassmux/internal/cli/rig.go
@@ -32,7 +32,7 @@
 		Short: "Start many processes of this program, put faults between them, and count at the receivers",
 		Long: "rig starts processes of this program on the loopback with stand-in servers, a list service and " +
 			"clients. Every link goes\nthrough the rig, which can drop, stall, delay, reset or cut what passes. A " +
-			"scenario is a file or one of\n" + strings.Join(rig.Kept(), ", ") + ".\nExit code 1 where a rule was " +
+			"scenario is a file or one of\n" + strings.Join(rig.EmbeddedNames(), ", ") + ".\nExit code 1 where a rule was " +
 			"broken or the run says nothing (void).",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, names []string) error {
@@ -85,13 +85,13 @@
 		if err := writeRigTable(stdout, s, r, o.seed); err != nil {
 			return err
 		}
-		if r.Void != "" {
-			fmt.Fprintf(stdout, "void: %s\n", r.Void)
+		if r.InvalidReason != "" {
+			fmt.Fprintf(stdout, "void: %s\n", r.InvalidReason)
 		}
-		if r.Broken.Any() {
-			fmt.Fprintf(stdout, "rules broken: %+v\n  %s\n", r.Broken, strings.Join(r.History, "\n  "))
+		if r.Violations.Any() {
+			fmt.Fprintf(stdout, "rules broken: %+v\n  %s\n", r.Violations, strings.Join(r.History, "\n  "))
 		}
-		failed = failed || r.Void != "" || r.Broken.Any()
+		failed = failed || r.InvalidReason != "" || r.Violations.Any()
 	}
 	if err := writeResults(o.jsonPath, all); err != nil {
 		return err
@@ -105,9 +105,9 @@
 func writeRigTable(stdout io.Writer, s *rig.Scenario, r *rig.Result, seed uint64) error {
 	table := newTable(stdout)
 	fmt.Fprintf(table, "%s\tseed %d, %d nodes\n", s.Name, seed, s.Nodes)
-	fmt.Fprintf(table, "  served\t%.3f\n  most that the rig was late\t%.0f ms\n", r.Served, r.Lateness)
-	fmt.Fprintf(table, "  fullest window of a cold server\t%.3f\n", r.ColdUsed)
-	for _, name := range r.Names() {
+	fmt.Fprintf(table, "  served\t%.3f\n  most that the rig was late\t%.0f ms\n", r.Served, r.MaxLatenessMS)
+	fmt.Fprintf(table, "  fullest window of a cold server\t%.3f\n", r.SlowStartUtilization)
+	for _, name := range r.TotalNames() {
 		fmt.Fprintf(table, "  %s\t%d\n", name, r.Totals[name])
 	}
 	writeRigTimes(table, s, r)
@@ -115,28 +115,28 @@
 		fmt.Fprintf(table, "  most %s in 1 s\t%d\n", what, r.Peaks[what])
 	}
 	for i, e := range s.Events {
-		fmt.Fprintf(table, "  %s acted\t%d\n", e.Do, r.Effects[i])
+		fmt.Fprintf(table, "  %s acted\t%d\n", e.Kind, r.EventEffects[i])
 	}
-	fmt.Fprintf(table, "  words between nodes, bytes a second\t%.0f, %.0f\n", r.Words.All, r.Words.Bytes)
+	fmt.Fprintf(table, "  words between nodes, bytes a second\t%.0f, %.0f\n", r.Datagrams.PerSecond, r.Datagrams.BytesPerSecond)
 	return table.Flush()
 }
 
 // writeRigTimes writes how long nodes took to have a list, to be ready, and to have a list after an outage.
 func writeRigTimes(table io.Writer, s *rig.Scenario, r *rig.Result) {
-	if l := r.Lists; l.Starts > 0 {
+	if l := r.ListDelays; l.Starts > 0 {
 		fmt.Fprintf(table, "  list after, half, 99%%, all\t%.1f, %.1f, %.1f s; %d of %d starts never\n",
-			l.Half, l.Most, l.All, l.Never, l.Starts)
+			l.Median, l.P99, l.Max, l.Missing, l.Starts)
 	}
-	for _, p := range r.Ready {
+	for _, p := range r.StartupTimes {
 		cause := "the day's start"
 		if p.Event >= 0 {
-			cause = fmt.Sprintf("event %d, %s", p.Event, s.Events[p.Event].Do)
+			cause = fmt.Sprintf("event %d, %s", p.Event, s.Events[p.Event].Kind)
 		}
 		fmt.Fprintf(table, "  ready after, half, 90%%, all\t%.2f, %.2f, %.2f s; %d of %d starts never (%s)\n",
-			p.Half, p.NineInTen, p.All, p.Never, p.Starts, cause)
+			p.Median, p.P90, p.Max, p.NeverReady, p.Starts, cause)
 	}
-	if l := r.Back; l.Starts > 0 {
+	if l := r.ListRecovery; l.Starts > 0 {
 		fmt.Fprintf(table, "  list after its service is back\t%.1f, %.1f, %.1f s; %d of %d never\n",
-			l.Half, l.Most, l.All, l.Never, l.Starts)
+			l.Median, l.P99, l.Max, l.Missing, l.Starts)
 	}
 }
--- a/cmd/brassmux/internal/cli/sizes.go
+++ b/cmd/brassmux/internal/cli/sizes.go
@@ -15,7 +15,7 @@
 const maxSizesServers = 4000
 
 func newSizesCommand(stdout io.Writer) *cobra.Command {
-	var s rig.Sizes
+	var s rig.SizeTest
 	var jsonPath string
 	c := &cobra.Command{
 		Use: "sizes",
@@ -35,8 +35,8 @@
 		},
 	}
 	c.Flags().IntSliceVar(&s.Servers, "servers", []int{200, 3200}, "numbers of servers")
-	c.Flags().IntVar(&s.Fleet, "fleet", 300, "nodes of the fleet, of which one is played")
-	c.Flags().Float64Var(&s.PerSecond, "per-second", 20, "new clients")
+	c.Flags().IntVar(&s.FleetSize, "fleet", 300, "nodes of the fleet, of which one is played")
+	c.Flags().Float64Var(&s.ClientsPerSecond, "per-second", 20, "new clients")
 	c.Flags().DurationVar(&s.Length, "for", 25*time.Second, "length of each play")
 	c.Flags().Uint64Var(&s.Seed, "seed", 1, "for clients and changes")
 	c.Flags().StringVar(&s.Binary, "binary", "",
@@ -46,7 +46,7 @@
 }
 
 // checkSizes returns an error for a flag that is out of range.
-func checkSizes(s *rig.Sizes) error {
+func checkSizes(s *rig.SizeTest) error {
 	for _, n := range s.Servers {
 		if n < 1 || n > maxSizesServers {
 			return fmt.Errorf("--servers: %d is not 1 to %d", n, maxSizesServers)
@@ -55,7 +55,7 @@
 	if len(s.Servers) < 2 {
 		return errors.New("--servers: two numbers are wanted at the least")
 	}
-	if s.Fleet < 1 || s.PerSecond <= 0 || s.Length < time.Second {
+	if s.FleetSize < 1 || s.ClientsPerSecond <= 0 || s.Length < time.Second {
 		return errors.New("--fleet, --per-second and --for: must be over 0, and 1s at the least")
 	}
 	return nil
@@ -64,7 +64,7 @@
 var errBoundExceeded = errors.New("a bound is exceeded")
 
 // runSizes plays the node at each size and prints what it needed.
-func runSizes(stdout io.Writer, s rig.Sizes, jsonPath string) error {
+func runSizes(stdout io.Writer, s rig.SizeTest, jsonPath string) error {
 	results, err := s.Run()
 	if err != nil {
 		return err
@@ -72,7 +72,7 @@
 	table := newTable(stdout)
 	fmt.Fprintln(table, "servers\tprocessor s\tmemory MB\tdescriptors\tconnections\tlist bytes\tserved")
 	for _, r := range results {
-		fmt.Fprintf(table, "%d\t%.2f\t%.1f\t%d\t%d\t%d\t%.3f\n", r.Servers, r.CPU, r.Memory, r.Descriptors,
+		fmt.Fprintf(table, "%d\t%.2f\t%.1f\t%d\t%d\t%d\t%.3f\n", r.Servers, r.CPUSeconds, r.MemoryMB, r.Descriptors,
 			r.Connections, r.ListBytes, r.Served)
 	}
 	if err := table.Flush(); err != nil {
@@ -80,9 +80,9 @@
 	}
 	exceeded := false
 	for _, r := range results {
-		if len(r.Over) > 0 {
+		if len(r.ExceededBounds) > 0 {
 			exceeded = true
-			fmt.Fprintf(stdout, "%d servers, over: %s\n", r.Servers, strings.Join(r.Over, "; "))
+			fmt.Fprintf(stdout, "%d servers, over: %s\n", r.Servers, strings.Join(r.ExceededBounds, "; "))
 		}
 	}
 	if err := writeResults(jsonPath, results); err != nil {
--- a/cmd/brassmux/internal/cli/soak.go
+++ b/cmd/brassmux/internal/cli/soak.go
@@ -17,7 +17,7 @@
 
 // soakOptions are the flags of lab soak.
 type soakOptions struct {
-	rig.Soak
+	rig.SoakConfig
 	firstSeed, seeds uint64
 	binary           string // the program to play; "" for this one
 	scenarioDir      string // for days that broke an invariant
@@ -43,7 +43,7 @@
 			return asCommandError(runSoak(stdout, &o))
 		},
 	}
-	c.Flags().IntVar(&o.Nodes, "nodes", 16, "processes, at the most; a day has from half of them on")
+	c.Flags().IntVar(&o.MaxNodes, "nodes", 16, "processes, at the most; a day has from half of them on")
 	c.Flags().DurationVar(&o.Length, "for", 15*time.Second, "length of a day")
 	c.Flags().Uint64Var(&o.firstSeed, "seed", 1, "the first seed")
 	c.Flags().Uint64Var(&o.seeds, "seeds", 5, "how many days to play")
@@ -57,8 +57,8 @@
 // check returns an error for a flag that is out of range.
 func (o *soakOptions) check() error {
 	switch {
-	case o.Nodes < 4 || o.Nodes > 100:
-		return fmt.Errorf("--nodes: %d is not 4 to 100", o.Nodes)
+	case o.MaxNodes < 4 || o.MaxNodes > 100:
+		return fmt.Errorf("--nodes: %d is not 4 to 100", o.MaxNodes)
 	case o.Length < 8*time.Second || o.Length > time.Hour:
 		return fmt.Errorf("--for: %v is not 8s to 1h", o.Length)
 	case o.seeds == 0 || o.seeds > 10000:
@@ -78,7 +78,7 @@
 	effective := map[string]int{} // days by event that had an effect
 	failed := false
 	for seed := o.firstSeed; seed < o.firstSeed+o.seeds; seed++ {
-		day := o.Draw(seed)
+		day := o.Generate(seed)
 		plays, err := playDay(day, seed, o.binary)
 		if err != nil {
 			return err
@@ -86,12 +86,12 @@
 		all = append(all, plays...)
 		last := plays[len(plays)-1]
 		for i, e := range day.Events {
-			effective[e.Do] += min(last.Effects[i], 1)
+			effective[e.Kind] += min(last.EventEffects[i], 1)
 		}
 		if err := writeDay(stdout, o.scenarioDir, seed, day, last); err != nil {
 			return err
 		}
-		failed = failed || last.Void != "" || last.Broken.Any()
+		failed = failed || last.InvalidReason != "" || last.Violations.Any()
 	}
 	fmt.Fprintf(stdout, "days by trouble that acted: %v\n", effective)
 	if err := writeResults(o.jsonPath, all); err != nil {
@@ -111,7 +111,7 @@
 			return nil, err
 		}
 		plays = append(plays, r)
-		if r.Void == "" {
+		if r.InvalidReason == "" {
 			break
 		}
 	}
@@ -122,21 +122,21 @@
 func writeDay(stdout io.Writer, dir string, seed uint64, day *rig.Scenario, r *rig.Result) error {
 	var events []string
 	for _, e := range day.Events {
-		events = append(events, e.Do)
+		events = append(events, e.Kind)
 	}
 	fmt.Fprintf(stdout, "seed %d: %d nodes, %d servers, served %.3f, up %d, late %.0f ms; %s\n", seed, day.Nodes,
-		day.Servers, r.Served, r.Totals["up"], r.Lateness, strings.Join(events, " "))
-	if r.Void != "" {
-		fmt.Fprintf(stdout, "  void: %s\n", r.Void)
+		day.Servers, r.Served, r.Totals["up"], r.MaxLatenessMS, strings.Join(events, " "))
+	if r.InvalidReason != "" {
+		fmt.Fprintf(stdout, "  void: %s\n", r.InvalidReason)
 	}
-	if !r.Broken.Any() {
+	if !r.Violations.Any() {
 		return nil
 	}
 	path, err := writeScenario(dir, day)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(stdout, "  rules broken: %+v (%s)\n  %s\n", r.Broken, path, strings.Join(r.History, "\n  "))
+	fmt.Fprintf(stdout, "  rules broken: %+v (%s)\n  %s\n", r.Violations, path, strings.Join(r.History, "\n  "))
 	return nil
 }
 
--- a/lab/rig/client.go
+++ b/lab/rig/client.go
@@ -50,9 +50,9 @@
 // arrivals has clients come: the standing ones within two seconds, the others open loop, each at its own moment whatever
 // became of those before.
 func (r *rig) arrivals() {
-	for i := range r.s.Clients.Standing {
+	for i := range r.s.Clients.Initial {
 		r.work.Go(func() {
-			if r.sleep(r.between(0, Dur(2*time.Second))) {
+			if r.sleep(r.between(0, Duration(2*time.Second))) {
 				r.arrive(fmt.Sprintf("k%d-%d", r.o.Seed, i))
 			}
 		})
@@ -74,7 +74,7 @@
 
 func (r *rig) arrive(key string) {
 	r.mu.Lock()
-	life := time.Duration(r.rng.ExpFloat64() * float64(r.s.Clients.Life))
+	life := time.Duration(r.rng.ExpFloat64() * float64(r.s.Clients.MeanDuration))
 	c := &client{r: r, key: key, until: time.Now().Add(life)}
 	r.mu.Unlock()
 	c.effect = r.effect()
@@ -92,7 +92,7 @@
 	for again := 0; time.Now().Before(c.until); again++ {
 		wait, end := c.connect(again)
 		c.set(false)
-		if end || !r.sleep(max(wait, r.between(r.s.Clients.Rejoin[0], r.s.Clients.Rejoin[1]))) {
+		if end || !r.sleep(max(wait, r.between(r.s.Clients.ReconnectDelay[0], r.s.Clients.ReconnectDelay[1]))) {
 			return
 		}
 	}
@@ -105,8 +105,8 @@
 	nodes := r.nodes[:r.s.Nodes] // nobody is sent to a control machine
 	busy := max(len(nodes)/10, 1)
 	weight := func(i int) float64 {
-		if i < busy && r.s.Clients.Uneven > 1 {
-			return r.s.Clients.Uneven
+		if i < busy && r.s.Clients.BusyNodeWeight > 1 {
+			return r.s.Clients.BusyNodeWeight
 		}
 		return 1
 	}
--- a/lab/rig/nodes.go
+++ b/lab/rig/nodes.go
@@ -88,7 +88,7 @@
 	v := r.s.Server
 	version, known := r.list.Snapshot(n.index)
 	up := []emulator.Endpoint{}
-	if r.s.List.Unknown {
+	if r.s.ListService.EmptyInitialList {
 		version, known = 0, nil
 	}
 	for _, e := range known {
@@ -99,31 +99,31 @@
 	r.mu.Lock()
 	seed := fmt.Sprintf("%016x", r.rng.Uint64())
 	r.mu.Unlock()
-	us := func(d Dur) int64 { return time.Duration(d).Microseconds() }
+	us := func(d Duration) int64 { return time.Duration(d).Microseconds() }
 	cfg := map[string]any{"name": fmt.Sprintf("n%d", n.index), "listen": "127.0.0.1:0", "discovery": r.list.Addr(), "seed": seed, "source": emulator.SourceAddr(n.index).String(),
 		"limits": map[string]any{"cores": 1, "sockets": 4096},
 		"known":  map[string]any{"version": version, "full": true, "servers": up},
-		"settings": map[string]any{"balancers": max(r.s.Nodes, r.s.Fleet), "index": n.index, "tick_us": 5000, "membership_mode": "on_request",
+		"settings": map[string]any{"balancers": max(r.s.Nodes, r.s.FleetSize), "index": n.index, "tick_us": 5000, "membership_mode": "on_request",
 			"ceilings": map[string]any{"dial_timeout_us": 200000, "keepalive_us": 5000000, "max_open": 2000, "max_retry_after_us": 1000000,
-				"may_probe": true, "retry_after": true, "send_cap": 3, "peers": r.s.Budgets.Lease},
+				"may_probe": true, "retry_after": true, "send_cap": 3, "peers": r.s.Quotas.Leased},
 			"classes":     r.classes(),
 			"family_info": map[string]any{"message_aim_us": []float64{300000}, "tenant_quota_connections": []float64{r.connections()}},
 			"report":      map[string]any{"fields": []string{"x0"}, "via": "probe"},
-			"rules": map[string]any{"cold_from": v.ColdFrom, "cold_us": us(v.ColdFor), "fall_multiple": v.FallMultiple,
-				"fall_us": us(v.FallWindow)}}}
+			"rules": map[string]any{"cold_from": v.SlowStartMinCapacity, "cold_us": us(v.SlowStartDuration), "fall_multiple": v.OverloadFactor,
+				"fall_us": us(v.OverloadWindow)}}}
 	if n.socket != nil {
 		cfg["listen"] = n.addr
 	}
 	if clock != 0 {
 		cfg["lab"] = map[string]any{"clock_off_ms": clock.Milliseconds()}
 	}
-	if r.s.Budgets.Lease {
+	if r.s.Quotas.Leased {
 		cfg["peers"] = r.peers(n.index)
-		cfg["budgets"] = map[string]any{"lease": true, "floor": r.s.Budgets.Floor}
-		for key, n := range r.s.Budgets.rates() {
+		cfg["budgets"] = map[string]any{"lease": true, "floor": r.s.Quotas.GuaranteedFraction}
+		for key, n := range r.s.Quotas.rates() {
 			cfg["budgets"].(map[string]any)[key] = n
 		}
-		cfg["budgets"].(map[string]any)["open_lease_ms"] = time.Duration(r.s.Budgets.OpenLease).Milliseconds()
+		cfg["budgets"].(map[string]any)["open_lease_ms"] = time.Duration(r.s.Quotas.OpenLeaseTerm).Milliseconds()
 	}
 	return cfg
 }
@@ -131,7 +131,7 @@
 // peers are the ways between the processes as one of them is told.
 func (r *rig) peers(index int) map[string]any {
 	s, p, addrs := r.s, map[string]any{"listen": "127.0.0.1:0"}, []string{}
-	if s.Control > 0 && index < s.Nodes {
+	if s.ControlMachines > 0 && index < s.Nodes {
 		for _, c := range s.preference(index) {
 			addrs = append(addrs, r.below.Addr(c))
 		}
@@ -142,7 +142,7 @@
 		addrs = append(addrs, r.words.Addr(i))
 	}
 	p["nodes"] = addrs
-	if s.Control > 0 {
+	if s.ControlMachines > 0 {
 		p["children"], p["index"] = "127.0.0.1:0", index-s.Nodes
 	}
 	return p
@@ -190,7 +190,7 @@
 			addr, err := netip.ParseAddrPort(at)
 			switch {
 			case err != nil:
-			case r.s.Control == 0:
+			case r.s.ControlMachines == 0:
 				r.words.SetNodeAddr(n.index, addr, second)
 			case n.index < r.s.Nodes || kind == "children":
 				r.below.SetNodeAddr(n.index, addr, second)
--- a/lab/rig/odd.go
+++ b/lab/rig/odd.go
@@ -174,7 +174,7 @@
 	if line, err := c.in.ReadString('\n'); err != nil || line != "PONG\r\n" {
 		return
 	}
-	if !c.r.sleep(c.r.between(Dur(1900*time.Millisecond), Dur(2100*time.Millisecond))) {
+	if !c.r.sleep(c.r.between(Duration(1900*time.Millisecond), Duration(2100*time.Millisecond))) {
 		return
 	}
 	c.conn.SetReadDeadline(time.Now().Add(time.Millisecond))
@@ -231,10 +231,10 @@
 
 // odds has clients come that misbehave.
 func (r *rig) odds() {
-	if r.s.Clients.Odd <= 0 {
+	if r.s.Clients.MisbehavingPerSecond <= 0 {
 		return
 	}
-	for number := 0; r.sleep(r.between(0, Dur(2/r.s.Clients.Odd*float64(time.Second)))); number++ {
+	for number := 0; r.sleep(r.between(0, Duration(2/r.s.Clients.MisbehavingPerSecond*float64(time.Second)))); number++ {
 		r.work.Go(func() { r.odd(number) })
 	}
 }
@@ -250,9 +250,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch p := r.rng.Float64(); {
-	case p < r.s.Clients.Unsafe:
+	case p < r.s.Clients.NotIdempotentFraction:
 		return checker.NotIdempotent
-	case p < r.s.Clients.Unsafe+r.s.Clients.Keyed:
+	case p < r.s.Clients.NotIdempotentFraction+r.s.Clients.KeyedFraction:
 		return checker.KeyedIdempotent
 	}
 	return checker.Idempotent
--- a/lab/rig/ready.go
+++ b/lab/rig/ready.go
@@ -74,7 +74,7 @@
 }
 
 // readies sums up how long starts took, by event.
-func (r *rig) readies() (all []Ready) {
+func (r *rig) readies() (all []StartupTimes) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	events := map[int]bool{}
@@ -86,7 +86,7 @@
 	}
 	for _, event := range slices.Sorted(maps.Keys(events)) {
 		took, never := r.ready[event], r.unready[event]
-		all = append(all, Ready{Event: event, Starts: len(took) + never, Half: within(took, 0.5), NineInTen: within(took, 0.9), All: within(took, 1), Never: never})
+		all = append(all, StartupTimes{Event: event, Starts: len(took) + never, Median: within(took, 0.5), P90: within(took, 0.9), Max: within(took, 1), NeverReady: never})
 	}
 	return all
 }
--- a/lab/rig/rig.go
+++ b/lab/rig/rig.go
@@ -77,14 +77,14 @@
 		}
 		o.Binary = self
 	}
-	if err := process.RaiseDescriptorLimit((s.Nodes+s.Control)*(8+s.Servers) + 4*s.Clients.Standing + 500); err != nil {
+	if err := process.RaiseDescriptorLimit((s.Nodes+s.ControlMachines)*(8+s.Servers) + 4*s.Clients.Initial + 500); err != nil {
 		return nil, err
 	}
 	r := &rig{s: s, o: o, starter: process.NewStarter(), over: make(chan struct{}), links: map[linkKey]*emulator.Direction{},
 		ready: map[int][]time.Duration{}, unready: map[int]int{},
 		rng: rand.New(rand.NewPCG(o.Seed, 1)), totals: map[string]int{}, peaks: map[string][]time.Time{}, effects: make([]int, len(s.Events)), sum: map[string]float64{}}
 	defer r.starter.Close()
-	if s.Shim {
+	if s.UseShim {
 		library, err := shim.Build()
 		if err != nil {
 			return nil, err
@@ -95,20 +95,20 @@
 	v := s.Server
 	connections := r.connections()
 	r.ref = checker.New(checker.Config{
-		AnswerGrace: 70 * time.Millisecond, DrainGrace: time.Duration(v.Grace), Slack: 100 * time.Millisecond,
+		AnswerGrace: 70 * time.Millisecond, DrainGrace: time.Duration(v.DrainGrace), Slack: 100 * time.Millisecond,
 		DepartureGrace: 100 * time.Millisecond, IdempotencyWindow: keyedWindow, ReadyTimeout: readyWithin,
-		RateLimits: s.Budgets.rates(), SlowStartWindow: time.Duration(v.FallWindow),
-		SlowStartDuration: time.Duration(v.ColdFor),
+		RateLimits: s.Quotas.rates(), SlowStartWindow: time.Duration(v.OverloadWindow),
+		SlowStartDuration: time.Duration(v.SlowStartDuration),
 		SlowStartLimit: func(age time.Duration) float64 { // by the mean share of the window
-			mean := max(age.Seconds()-time.Duration(v.FallWindow).Seconds()/2, 0) / time.Duration(v.ColdFor).Seconds()
-			share := min(v.ColdFrom+(1-v.ColdFrom)*mean, 1)
-			return v.FallMultiple * time.Duration(v.FallWindow).Seconds() * share * connections /
-				(float64(s.Servers) * time.Duration(v.ColdFor).Seconds())
+			mean := max(age.Seconds()-time.Duration(v.OverloadWindow).Seconds()/2, 0) / time.Duration(v.SlowStartDuration).Seconds()
+			share := min(v.SlowStartMinCapacity+(1-v.SlowStartMinCapacity)*mean, 1)
+			return v.OverloadFactor * time.Duration(v.OverloadWindow).Seconds() * share * connections /
+				(float64(s.Servers) * time.Duration(v.SlowStartDuration).Seconds())
 		},
 	})
 	var err error
-	if s.Control > 0 {
-		if r.below, err = emulator.NewDatagramNetwork(s.Nodes+s.Control, o.Seed^1<<32); err != nil {
+	if s.ControlMachines > 0 {
+		if r.below, err = emulator.NewDatagramNetwork(s.Nodes+s.ControlMachines, o.Seed^1<<32); err != nil {
 			return nil, err
 		}
 		defer r.below.Close()
@@ -118,8 +118,8 @@
 	}
 	defer r.words.Close()
 	r.list = emulator.NewListService(emulator.ListConfig{
-		CallsPerSecond: s.List.PerSecond, QueueTimeout: time.Duration(s.List.Patience),
-		PropagationDelay: time.Duration(s.List.Lag),
+		CallsPerSecond: s.ListService.CallsPerSecond, QueueTimeout: time.Duration(s.ListService.CallTimeout),
+		PropagationDelay: time.Duration(s.ListService.PropagationDelay),
 	}, r.told, r.called)
 	defer r.list.Close()
 	if err := r.list.Open(r.ways("list")); err != nil {
@@ -140,9 +140,9 @@
 	}
 	defer r.killAll()
 	var ready sync.WaitGroup
-	for i := range s.Nodes + s.Control {
+	for i := range s.Nodes + s.ControlMachines {
 		n := &node{index: i}
-		if r.nodes = append(r.nodes, n); s.Inherit {
+		if r.nodes = append(r.nodes, n); s.InheritSocket {
 			defer n.close()
 			if err := n.listen(); err != nil {
 				return nil, err
@@ -182,7 +182,7 @@
 }
 
 // connections are those that all servers are to bear.
-func (r *rig) connections() float64 { return 0.85 * float64(r.s.Server.Holds*r.s.Servers) }
+func (r *rig) connections() float64 { return 0.85 * float64(r.s.Server.Capacity*r.s.Servers) }
 
 // way is one direction of a node's links of a kind.
 func (r *rig) way(kind string, node int, to bool) *emulator.Direction {
@@ -239,7 +239,7 @@
 	return r.rng.IntN(n)
 }
 
-func (r *rig) between(a, b Dur) time.Duration {
+func (r *rig) between(a, b Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return time.Duration(a) + time.Duration(r.rng.Float64()*float64(b-a))
@@ -249,7 +249,7 @@
 
 func (r *rig) newServer(started time.Time) error {
 	kind := emulator.ServerConfig{
-		Capacity: r.s.Server.Holds, InitialFraction: r.s.Server.ColdFrom, WarmUp: time.Duration(r.s.Server.ColdFor),
+		Capacity: r.s.Server.Capacity, InitialFraction: r.s.Server.SlowStartMinCapacity, WarmUp: time.Duration(r.s.Server.SlowStartDuration),
 	}
 	r.mu.Lock()
 	r.named++ // two may start at once
@@ -270,11 +270,11 @@
 // so for all nodes once the service has had it and could be reached for as long.
 func (r *rig) leave(s *emulator.Server, state string) {
 	r.list.UpdateServer(s, state)
-	told := time.Duration(r.s.List.Told)
+	told := time.Duration(r.s.ListService.NotificationGrace)
 	if told == 0 {
 		return
 	}
-	known := time.Now().Add(time.Duration(r.s.List.Lag))
+	known := time.Now().Add(time.Duration(r.s.ListService.PropagationDelay))
 	r.work.Go(func() {
 		for {
 			r.mu.Lock()
@@ -410,7 +410,7 @@
 			case loads[r.ref.LastServer(c.request())] <= 1:
 				now.Served += 1.0 / looks
 			default:
-				now.Crowded += 1.0 / looks
+				now.Overloaded += 1.0 / looks
 			}
 		}
 		r.mu.Lock()
@@ -419,7 +419,7 @@
 			r.seconds = append(r.seconds, Second{})
 		}
 		s := &r.seconds[at]
-		s.Served, s.Crowded, s.Waiting, s.Loads = s.Served+now.Served, s.Crowded+now.Crowded, s.Waiting+now.Waiting, loads
+		s.Served, s.Overloaded, s.Waiting, s.Utilization = s.Served+now.Served, s.Overloaded+now.Overloaded, s.Waiting+now.Waiting, loads
 		r.clients = slices.DeleteFunc(r.clients, func(c *client) bool { return c.done() })
 		r.mu.Unlock()
 	}
--- a/lab/rig/rig_test.go
+++ b/lab/rig/rig_test.go
@@ -26,20 +26,20 @@
 		if r, err = Run(s, Options{Seed: seed, Binary: binary}); err != nil {
 			t.Fatal(err)
 		}
-		if r.Void == "" {
+		if r.InvalidReason == "" {
 			break
 		}
-		t.Log("void: ", r.Void)
+		t.Log("void: ", r.InvalidReason)
 	}
-	if r.Void != "" {
-		t.Fatalf("void eight times: %s", r.Void)
+	if r.InvalidReason != "" {
+		t.Fatalf("void eight times: %s", r.InvalidReason)
 	}
-	if r.Broken.Any() {
-		t.Errorf("%+v\n%s", r.Broken, strings.Join(r.History, "\n"))
+	if r.Violations.Any() {
+		t.Errorf("%+v\n%s", r.Violations, strings.Join(r.History, "\n"))
 	}
 	for i, e := range s.Events {
-		if r.Effects[i] == 0 {
-			t.Errorf("event %d, %s %s %s: nothing met it", i, e.Do, e.Link, e.Mode)
+		if r.EventEffects[i] == 0 {
+			t.Errorf("event %d, %s %s %s: nothing met it", i, e.Kind, e.Link, e.Mode)
 		}
 	}
 	return r
@@ -59,8 +59,8 @@
 	r := play(t, load(t, "faults"), 1)
 	if r.Totals["up"] < 100 || r.Totals["attempts at servers that started"] == 0 || r.Totals["list calls failed"] == 0 {
 		t.Errorf("got %v", r.Totals)
-	} else if r.Lists.Starts < r.Nodes || r.Lists.Never > 0 || r.Lists.All < r.Lists.Half || r.Peaks["list calls"] == 0 || r.Peaks["connections at one server"] == 0 {
-		t.Errorf("lists %+v, peaks %v", r.Lists, r.Peaks)
+	} else if r.ListDelays.Starts < r.Nodes || r.ListDelays.Missing > 0 || r.ListDelays.Max < r.ListDelays.Median || r.Peaks["list calls"] == 0 || r.Peaks["connections at one server"] == 0 {
+		t.Errorf("lists %+v, peaks %v", r.ListDelays, r.Peaks)
 	}
 }
 
@@ -123,7 +123,7 @@
 			t.Errorf("%v does not name %q", err, c.want)
 		}
 	}
-	for _, name := range Kept() {
+	for _, name := range EmbeddedNames() {
 		load(t, name)
 	}
 }
@@ -131,23 +131,23 @@
 // Twelve processes divide what cold servers bear while one kind of fault at a time is put between them. What each cold server
 // is sent is counted there: in no window is it more than the whole, and grants are in use, or it would prove nothing.
 func TestNeverMoreThanTheWholeUnderFaults(t *testing.T) {
-	ms := func(n int) Dur { return Dur(time.Duration(n) * time.Millisecond) }
+	ms := func(n int) Duration { return Duration(time.Duration(n) * time.Millisecond) }
 	all := []int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11} // in turn: whoever keeps is met
 	for _, c := range []struct {
 		name   string
 		events []Event
 	}{
-		{"dropped", []Event{{At: ms(4500), Do: "link", Link: "peers", Way: "both", Mode: "drop", Part: 0.4, For: ms(2500)},
-			{At: ms(7500), Do: "split", For: ms(2500)}}},
-		{"one way, lost, twice, late", []Event{{At: ms(4500), Do: "link", Link: "peers", Way: "from", Mode: "drop", Part: 0.4, For: ms(2500)},
-			{At: ms(7500), Do: "link", Link: "peers", Way: "both", Mode: "pass", Nodes: all, Lose: 0.2, Twice: 0.3, Late: 0.3, For: ms(3000)}}},
-		{"stalled and late", []Event{{At: ms(4500), Do: "link", Link: "peers", Way: "both", Mode: "stall", Nodes: all, For: ms(2500)},
-			{At: ms(8000), Do: "link", Link: "peers", Way: "both", Mode: "pass", Delay: ms(400), Nodes: all, For: ms(2000)}}},
-		{"crashes", []Event{{At: ms(4500), Do: "kill", Nodes: all, Over: ms(4000), For: ms(200), Clock: ms(30000)}}},
-		{"seven in ten killed at once", []Event{{At: ms(5500), Do: "kill", Part: 0.7, For: ms(300)}}},
-		{"pauses", []Event{{At: ms(7500), Do: "pause", Nodes: all, Over: ms(1000), For: ms(4000)}}},
-		{"restarts", []Event{{At: ms(4500), Do: "stop", Nodes: all, Over: ms(5000), For: ms(50)}}},
-		{"two with one number", []Event{{At: ms(200), Do: "twin", Nodes: []int{0, 3}, For: ms(20000)}}},
+		{"dropped", []Event{{At: ms(4500), Kind: "link", Link: "peers", Direction: "both", Mode: "drop", Fraction: 0.4, Duration: ms(2500)},
+			{At: ms(7500), Kind: "split", Duration: ms(2500)}}},
+		{"one way, lost, twice, late", []Event{{At: ms(4500), Kind: "link", Link: "peers", Direction: "from", Mode: "drop", Fraction: 0.4, Duration: ms(2500)},
+			{At: ms(7500), Kind: "link", Link: "peers", Direction: "both", Mode: "pass", Nodes: all, Loss: 0.2, Duplicate: 0.3, Reorder: 0.3, Duration: ms(3000)}}},
+		{"stalled and late", []Event{{At: ms(4500), Kind: "link", Link: "peers", Direction: "both", Mode: "stall", Nodes: all, Duration: ms(2500)},
+			{At: ms(8000), Kind: "link", Link: "peers", Direction: "both", Mode: "pass", Delay: ms(400), Nodes: all, Duration: ms(2000)}}},
+		{"crashes", []Event{{At: ms(4500), Kind: "kill", Nodes: all, Stagger: ms(4000), Duration: ms(200), ClockOffset: ms(30000)}}},
+		{"seven in ten killed at once", []Event{{At: ms(5500), Kind: "kill", Fraction: 0.7, Duration: ms(300)}}},
+		{"pauses", []Event{{At: ms(7500), Kind: "pause", Nodes: all, Stagger: ms(1000), Duration: ms(4000)}}},
+		{"restarts", []Event{{At: ms(4500), Kind: "stop", Nodes: all, Stagger: ms(5000), Duration: ms(50)}}},
+		{"two with one number", []Event{{At: ms(200), Kind: "twin", Nodes: []int{0, 3}, Duration: ms(20000)}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := load(t, "budgets")
@@ -167,7 +167,7 @@
 			if c.name == "two with one number" && r.Counters["budget_twins"] == 0 {
 				t.Error("nobody noticed the other")
 			}
-			t.Logf("%d at cold servers, %v of grants, late by %v ms", r.Totals["attempts at cold servers"], r.Counters["budget_leased"], r.Lateness)
+			t.Logf("%d at cold servers, %v of grants, late by %v ms", r.Totals["attempts at cold servers"], r.Counters["budget_leased"], r.MaxLatenessMS)
 		})
 	}
 }
@@ -178,27 +178,27 @@
 func TestRestartedProcessesAreReady(t *testing.T) {
 	for _, unknown := range []bool{false, true} {
 		s := load(t, "restarts")
-		s.Nodes, s.Clients.Standing, s.Length, s.List.Unknown = 10, 40, Dur(8*time.Second), unknown
+		s.Nodes, s.Clients.Initial, s.Length, s.ListService.EmptyInitialList = 10, 40, Duration(8*time.Second), unknown
 		for i, at := range []float64{0.5, 1, 2.6, 2.8, 3.2, 5, 5.2, 5.6} {
 			e := &s.Events[i]
-			e.At = Dur(at * float64(time.Second))
-			switch e.Do {
+			e.At = Duration(at * float64(time.Second))
+			switch e.Kind {
 			case "stop":
-				e.Over = Dur(1500 * time.Millisecond)
+				e.Stagger = Duration(1500 * time.Millisecond)
 			case "link":
-				e.For = Dur(2200 * time.Millisecond)
+				e.Duration = Duration(2200 * time.Millisecond)
 			}
 		}
 		r := play(t, s, 1)
-		if len(r.Ready) != 7 { // the day's start, and six events
-			t.Fatalf("%+v", r.Ready)
+		if len(r.StartupTimes) != 7 { // the day's start, and six events
+			t.Fatalf("%+v", r.StartupTimes)
 		}
-		for _, p := range r.Ready {
-			if p.Starts != s.Nodes || 10*p.Never > p.Starts || p.NineInTen > 10 || p.Half <= 0 || p.All < p.NineInTen || p.NineInTen < p.Half {
+		for _, p := range r.StartupTimes {
+			if p.Starts != s.Nodes || 10*p.NeverReady > p.Starts || p.P90 > 10 || p.Median <= 0 || p.Max < p.P90 || p.P90 < p.Median {
 				t.Errorf("%+v", p)
 			}
 		}
-		t.Logf("%+v", r.Ready)
+		t.Logf("%+v", r.StartupTimes)
 	}
 }
 
@@ -210,11 +210,11 @@
 		lease bool
 	}{{20, false}, {30, true}} {
 		s := load(t, "cold-servers")
-		s.Nodes, s.Budgets = c.nodes, Budgets{Lease: c.lease, Floor: 0.5}
-		if r := play(t, s, 1); r.Totals["attempts at cold servers"] < 30 || r.ColdUsed == 0 || r.ColdUsed > 1 {
-			t.Errorf("%+v: %d at cold servers, the fullest window %.2f", c, r.Totals["attempts at cold servers"], r.ColdUsed)
+		s.Nodes, s.Quotas = c.nodes, Quotas{Leased: c.lease, GuaranteedFraction: 0.5}
+		if r := play(t, s, 1); r.Totals["attempts at cold servers"] < 30 || r.SlowStartUtilization == 0 || r.SlowStartUtilization > 1 {
+			t.Errorf("%+v: %d at cold servers, the fullest window %.2f", c, r.Totals["attempts at cold servers"], r.SlowStartUtilization)
 		} else {
-			t.Logf("%+v: %d at cold servers, the fullest window %.2f, served %.3f", c, r.Totals["attempts at cold servers"], r.ColdUsed, r.Served)
+			t.Logf("%+v: %d at cold servers, the fullest window %.2f, served %.3f", c, r.Totals["attempts at cold servers"], r.SlowStartUtilization, r.Served)
 		}
 	}
 }
@@ -231,7 +231,7 @@
 		{"retries", "retries", map[string]int{"further attempts": 0}, nil, 0},
 		{"rates", "list_calls probes connects opens", map[string]int{"up": 49, "budget_leased": 0}, nil, 0},
 		{"uneven", "moves", map[string]int{"moved for relief": 0}, func(s *Scenario) {
-			s.Nodes, s.Clients.Standing, s.Budgets.Moves, s.Length = 12, 300, 2, Dur(11*time.Second)
+			s.Nodes, s.Clients.Initial, s.Quotas.MovesPerSecond, s.Length = 12, 300, 2, Duration(11*time.Second)
 		}, 0},
 		// Who is moved stands on leases at nodes that the split leaves without a keeper: by chance nobody does, and that play proves nothing.
 		{"open", "open_per_customer", map[string]int{"most open of a customer": 12, "budget_leased": 0, "moved": 0}, nil, 3},
@@ -273,26 +273,26 @@
 // control machines, on the nodes and on the ways of both. Counted at the servers, in no window is there more than the whole; units have
 // come through the control machines, or it would prove nothing.
 func TestNeverMoreThanTheWholeBelowControlMachines(t *testing.T) {
-	ms := func(n int) Dur { return Dur(time.Duration(n) * time.Millisecond) }
+	ms := func(n int) Duration { return Duration(time.Duration(n) * time.Millisecond) }
 	nodes, control := []int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11}, []int{12, 13, 14}
 	odd := func(at int, link string, of []int) Event {
-		return Event{At: ms(at), Do: "link", Link: link, Way: "both", Mode: "pass", Nodes: of, Lose: 0.2, Twice: 0.3, Late: 0.3, For: ms(5000)}
+		return Event{At: ms(at), Kind: "link", Link: link, Direction: "both", Mode: "pass", Nodes: of, Loss: 0.2, Duplicate: 0.3, Reorder: 0.3, Duration: ms(5000)}
 	}
 	for _, c := range []struct {
 		name   string
 		events []Event
 	}{
-		{"control machines killed", []Event{{At: ms(4500), Do: "kill", Nodes: control, Over: ms(4000), For: ms(200), Clock: ms(30000)},
-			{At: ms(10000), Do: "kill", Nodes: control, For: ms(300)}}},
-		{"control machines paused, a zone cut off", []Event{{At: ms(4500), Do: "pause", Nodes: control, Over: ms(2000), For: ms(2500)},
-			{At: ms(9500), Do: "split", For: ms(2500)}}},
+		{"control machines killed", []Event{{At: ms(4500), Kind: "kill", Nodes: control, Stagger: ms(4000), Duration: ms(200), ClockOffset: ms(30000)},
+			{At: ms(10000), Kind: "kill", Nodes: control, Duration: ms(300)}}},
+		{"control machines paused, a zone cut off", []Event{{At: ms(4500), Kind: "pause", Nodes: control, Stagger: ms(2000), Duration: ms(2500)},
+			{At: ms(9500), Kind: "split", Duration: ms(2500)}}},
 		{"lost, twice, late", []Event{odd(4500, "children", nodes), odd(5000, "peers", control)}},
-		{"control machines cut off", []Event{{At: ms(4500), Do: "link", Link: "children", Way: "from", Mode: "drop", Nodes: []int{12}, For: ms(2500)},
-			{At: ms(6000), Do: "link", Link: "children", Way: "to", Mode: "stall", Nodes: []int{13}, For: ms(2500)},
-			{At: ms(7500), Do: "link", Link: "peers", Way: "both", Mode: "drop", Nodes: []int{14}, For: ms(3000)}}},
-		{"nodes killed, stopped and paused", []Event{{At: ms(4500), Do: "kill", Nodes: nodes, Over: ms(4000), For: ms(200), Clock: ms(30000)},
-			{At: ms(7500), Do: "pause", Part: 0.5, Over: ms(1000), For: ms(2500)}, {At: ms(9000), Do: "stop", Of: "control", Part: 1, Over: ms(2000), For: ms(50)}}},
-		{"two with one number", []Event{{At: ms(200), Do: "twin", Nodes: []int{0, 13}, For: ms(20000)}}},
+		{"control machines cut off", []Event{{At: ms(4500), Kind: "link", Link: "children", Direction: "from", Mode: "drop", Nodes: []int{12}, Duration: ms(2500)},
+			{At: ms(6000), Kind: "link", Link: "children", Direction: "to", Mode: "stall", Nodes: []int{13}, Duration: ms(2500)},
+			{At: ms(7500), Kind: "link", Link: "peers", Direction: "both", Mode: "drop", Nodes: []int{14}, Duration: ms(3000)}}},
+		{"nodes killed, stopped and paused", []Event{{At: ms(4500), Kind: "kill", Nodes: nodes, Stagger: ms(4000), Duration: ms(200), ClockOffset: ms(30000)},
+			{At: ms(7500), Kind: "pause", Fraction: 0.5, Stagger: ms(1000), Duration: ms(2500)}, {At: ms(9000), Kind: "stop", Group: "control", Fraction: 1, Stagger: ms(2000), Duration: ms(50)}}},
+		{"two with one number", []Event{{At: ms(200), Kind: "twin", Nodes: []int{0, 13}, Duration: ms(20000)}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := load(t, "control")
@@ -311,7 +311,7 @@
 				t.Error("nobody noticed the other")
 			}
 			t.Logf("%d at cold servers, %v of grants, %v lent and %v passed through control machines, late by %v ms", r.Totals["attempts at cold servers"],
-				r.Counters["budget_leased"], r.Counters["budget_lent"], r.Counters["budget_passed"], r.Lateness)
+				r.Counters["budget_leased"], r.Counters["budget_lent"], r.Counters["budget_passed"], r.MaxLatenessMS)
 		})
 	}
 }
@@ -320,20 +320,20 @@
 // told 6 s after that, whatever calls failed before. The pause after a failed call was 7.5 to 22 s for 24 of 300 nodes.
 func TestTheListComesSoonAfterItsServiceIsBack(t *testing.T) {
 	s := load(t, "list-back")
-	s.Length = Dur(15500 * time.Millisecond) // half a second more than what is looked at
+	s.Length = Duration(15500 * time.Millisecond) // half a second more than what is looked at
 	r := play(t, s, 1)
-	if b := r.Back; b.Never > 0 || b.Starts < s.Nodes || b.All > 6 {
+	if b := r.ListRecovery; b.Missing > 0 || b.Starts < s.Nodes || b.Max > 6 {
 		t.Errorf("from when the service was back %+v", b)
 	}
-	t.Logf("%+v, %d calls, %d failed", r.Back, r.Totals["list calls"], r.Totals["list calls failed"])
+	t.Logf("%+v, %d calls, %d failed", r.ListRecovery, r.Totals["list calls"], r.Totals["list calls failed"])
 }
 
 // Guards against clients sent to servers that drain where the list service cannot tell all nodes in time: whoever has had no word of it
 // asks each server first. Counted at the servers; the node that sent by its old list, when no other server had room, was caught on three seeds of three.
 func TestNobodyIsSentToWhoDrainsByAnOldList(t *testing.T) {
 	r := play(t, load(t, "list-slow"), 1)
-	if r.Back.Never < r.Nodes/2 || r.Totals["up"] < 100 {
-		t.Errorf("%+v, %d up: nothing is proved", r.Back, r.Totals["up"])
+	if r.ListRecovery.Missing < r.Nodes/2 || r.Totals["up"] < 100 {
+		t.Errorf("%+v, %d up: nothing is proved", r.ListRecovery, r.Totals["up"])
 	}
 }
 
--- a/lab/rig/sizes.go
+++ b/lab/rig/sizes.go
@@ -18,27 +18,27 @@
 	"brassmux/lab/process"
 )
 
-// Sizes says how one node of a large fleet is played beside more and more servers.
-type Sizes struct {
-	Servers   []int         // the first is the usual size, against which the others are held
-	Fleet     int           // nodes, by the node's settings
-	PerSecond float64       // new clients, each with a key of its own
-	Length    time.Duration // of each play
-	Seed      uint64
-	Binary    string // of the program; "" for the one that runs
+// SizeTest says how one node of a large fleet is played beside more and more servers.
+type SizeTest struct {
+	Servers          []int         // the first is the usual size, against which the others are held
+	FleetSize        int           // nodes, by the node's settings
+	ClientsPerSecond float64       // new clients, each with a key of its own
+	Length           time.Duration // of each play
+	Seed             uint64
+	Binary           string // of the program; "" for the one that runs
 }
 
 // SizeResult is what the node needed beside so many servers.
 type SizeResult struct {
 	Servers     int     `json:"servers"`
-	CPU         float64 `json:"cpu_s"`
-	Memory      float64 `json:"memory_mb"` // at its peak
+	CPUSeconds  float64 `json:"cpu_s"`
+	MemoryMB    float64 `json:"memory_mb"` // at its peak
 	Descriptors int     `json:"descriptors"`
 	Connections int64   `json:"connections"` // made to servers
 	ListBytes   int64   `json:"list_bytes"`  // told while it ran
 	Served      float64 `json:"served"`      // part of the clients
 
-	Over []string `json:"over"` // the bounds that are exceeded
+	ExceededBounds []string `json:"over"` // the bounds that are exceeded
 }
 
 // bounds are what the operators' page allows a node beside servers, against what it needs at the usual size.
@@ -48,21 +48,21 @@
 		name      string
 		got, most float64
 	}{
-		{"processor time, s", r.CPU, 1.4*usual.CPU + 0.02 + 0.03*thousands},
-		{"peak memory, MB", r.Memory, 1.5*usual.Memory + 8 + 4*thousands},
+		{"processor time, s", r.CPUSeconds, 1.4*usual.CPUSeconds + 0.02 + 0.03*thousands},
+		{"peak memory, MB", r.MemoryMB, 1.5*usual.MemoryMB + 8 + 4*thousands},
 		{"descriptors", float64(r.Descriptors), 2*float64(usual.Descriptors) + 40},
 		{"connections made to servers", float64(r.Connections), 2.5*float64(usual.Connections) + 40},
 		{"bytes of lists", float64(r.ListBytes), 2*float64(usual.ListBytes) + 64<<10 + 500_000*thousands},
 		{"part served", -r.Served, -0.85 * usual.Served},
 	} {
 		if b.got > b.most {
-			r.Over = append(r.Over, fmt.Sprintf("%s: %.2f, %.2f allowed", b.name, max(b.got, -b.got), max(b.most, -b.most)))
+			r.ExceededBounds = append(r.ExceededBounds, fmt.Sprintf("%s: %.2f, %.2f allowed", b.name, max(b.got, -b.got), max(b.most, -b.most)))
 		}
 	}
 }
 
 // Run plays all sizes, one after the other.
-func (s Sizes) Run() (all []*SizeResult, err error) {
+func (s SizeTest) Run() (all []*SizeResult, err error) {
 	if s.Binary == "" {
 		if s.Binary, err = os.Executable(); err != nil {
 			return nil, err
@@ -86,7 +86,7 @@
 
 // sizePlay is one play.
 type sizePlay struct {
-	Sizes
+	SizeTest
 	list        *emulator.ListService
 	servers     []*emulator.Server
 	connections atomic.Int64
@@ -94,8 +94,8 @@
 	asked, up   atomic.Int64
 }
 
-func (s Sizes) play(servers int) (*SizeResult, error) {
-	p := &sizePlay{Sizes: s}
+func (s SizeTest) play(servers int) (*SizeResult, error) {
+	p := &sizePlay{SizeTest: s}
 	passes := func(int) (in, out *emulator.Direction) { return &emulator.Direction{}, &emulator.Direction{} }
 	p.list = emulator.NewListService(emulator.ListConfig{}, p.told, func(emulator.Call) {})
 	defer p.list.Close()
@@ -138,7 +138,7 @@
 	return map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": p.list.Addr(), "seed": strconv.FormatUint(p.Seed, 16),
 		"source": emulator.SourceAddr(0).String(), "limits": map[string]any{"cores": 1, "sockets": 1024},
 		"known": map[string]any{"version": version, "full": true, "servers": known},
-		"settings": map[string]any{"balancers": p.Fleet, "tick_us": 5000, "membership_mode": "on_request",
+		"settings": map[string]any{"balancers": p.FleetSize, "tick_us": 5000, "membership_mode": "on_request",
 			"ceilings": map[string]any{"dial_timeout_us": 200_000, "keepalive_us": 5_000_000, "max_retry_after_us": 1_000_000, "may_probe": true,
 				"retry_after": true, "send_cap": 3},
 			"classes":     []any{map[string]any{"name": "c", "effect": "read_like", "deadline_us": 2_000_000}},
@@ -173,7 +173,7 @@
 	next, change := begun, begun
 	for number := 0; time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		for now := time.Now(); next.Before(now); number++ {
-			next = next.Add(time.Duration(rng.ExpFloat64() / p.PerSecond * float64(time.Second)))
+			next = next.Add(time.Duration(rng.ExpFloat64() / p.ClientsPerSecond * float64(time.Second)))
 			clients.Go(func() { p.client(node, number, end) })
 		}
 		if now := time.Now(); change.Before(now) {
@@ -183,7 +183,7 @@
 		}
 	}
 	after := process.ReadUsage(pid)
-	r.CPU, r.Memory = (after.CPU - before.CPU).Seconds(), after.Peak/(1<<20)
+	r.CPUSeconds, r.MemoryMB = (after.CPU - before.CPU).Seconds(), after.Peak/(1<<20)
 	r.Connections, r.ListBytes = p.connections.Load(), p.listBytes.Load()
 	clients.Wait()
 	if n := p.asked.Load(); n > 0 {
--- a/lab/rig/soak_test.go
+++ b/lab/rig/soak_test.go
@@ -14,12 +14,12 @@
 func TestDrawnDaysAreSound(t *testing.T) {
 	drawn := map[string]int{}
 	for seed := range uint64(300) {
-		soak := Soak{Nodes: 4 + int(seed%40), Length: 8*time.Second + time.Duration(seed)*100*time.Millisecond}
-		s := soak.Draw(seed)
+		soak := SoakConfig{MaxNodes: 4 + int(seed%40), Length: 8*time.Second + time.Duration(seed)*100*time.Millisecond}
+		s := soak.Generate(seed)
 		if err := s.Check(); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		if !reflect.DeepEqual(s, soak.Draw(seed)) {
+		if !reflect.DeepEqual(s, soak.Generate(seed)) {
 			t.Fatalf("seed %d draws two days", seed)
 		}
 		text, err := toml.Marshal(s)
@@ -34,7 +34,7 @@
 			t.Fatalf("seed %d: read back %+v, %v", seed, read, err)
 		}
 		for _, e := range s.Events {
-			drawn[e.Do]++
+			drawn[e.Kind]++
 		}
 	}
 	for _, kind := range kinds {
@@ -47,21 +47,21 @@
 // Two drawn days: all rules hold while troubles overlap.
 func TestDrawnDays(t *testing.T) {
 	for _, seed := range []uint64{3, 7} {
-		s := Soak{Nodes: 8, Length: 10 * time.Second}.Draw(seed)
+		s := SoakConfig{MaxNodes: 8, Length: 10 * time.Second}.Generate(seed)
 		r, err := Run(s, Options{Seed: seed, Binary: binary})
 		for range 7 {
 			if err != nil {
 				t.Fatal(err)
-			} else if r.Void == "" {
+			} else if r.InvalidReason == "" {
 				break
 			}
-			t.Log("void: ", r.Void)
+			t.Log("void: ", r.InvalidReason)
 			r, err = Run(s, Options{Seed: seed, Binary: binary})
 		}
-		if r.Void != "" {
-			t.Errorf("seed %d: void each time: %s", seed, r.Void)
-		} else if r.Broken.Any() {
-			t.Errorf("seed %d: %+v\n%s", seed, r.Broken, r.History)
+		if r.InvalidReason != "" {
+			t.Errorf("seed %d: void each time: %s", seed, r.InvalidReason)
+		} else if r.Violations.Any() {
+			t.Errorf("seed %d: %+v\n%s", seed, r.Violations, r.History)
 		} else if r.Totals["up"] < 50 {
 			t.Errorf("seed %d: %d stood", seed, r.Totals["up"])
 		}
--- a/lab/rig/trouble.go
+++ b/lab/rig/trouble.go
@@ -28,10 +28,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	of := r.nodes[:r.s.Nodes]
-	if e.Of == "control" {
+	if e.Group == "control" {
 		of = r.nodes[r.s.Nodes:]
 	}
-	for _, i := range r.rng.Perm(len(of))[:part(len(of), e.Part)] {
+	for _, i := range r.rng.Perm(len(of))[:part(len(of), e.Fraction)] {
 		nodes = append(nodes, of[i])
 	}
 	return nodes
@@ -48,7 +48,7 @@
 			if e.Steps > 0 {
 				turn = float64(i*e.Steps/count) / float64(e.Steps)
 			}
-			if r.sleep(time.Until(begun.Add(time.Duration(float64(e.Over) * turn)))) {
+			if r.sleep(time.Until(begun.Add(time.Duration(float64(e.Stagger) * turn)))) {
 				do(i)
 			}
 		}()
@@ -60,8 +60,8 @@
 
 // trouble lets an event happen, to its end.
 func (r *rig) trouble(at int, e Event) {
-	lasts := time.Duration(e.For)
-	switch e.Do {
+	lasts := time.Duration(e.Duration)
+	switch e.Kind {
 	case "kill", "stop":
 		nodes := r.chosen(e)
 		r.inTurn(e, len(nodes), func(i int) { r.restart(at, e, nodes[i]) })
@@ -116,7 +116,7 @@
 		r.replace(at, e)
 	case "crash_servers", "hang_servers":
 		for _, s := range r.some(e) {
-			if e.Do == "hang_servers" {
+			if e.Kind == "hang_servers" {
 				s.SetHanging(true)
 				r.work.Go(func() {
 					r.sleep(lasts)
@@ -150,7 +150,7 @@
 	case "clock_step":
 		r.eachFor(r.chosen(e), lasts, func(n *node, p *process.Process, on bool) {
 			if on {
-				r.step(n, time.Duration(e.Clock))
+				r.step(n, time.Duration(e.ClockOffset))
 				r.acted(at, 1)
 			} else {
 				r.step(n, 0)
@@ -160,7 +160,7 @@
 		r.eachFor(r.chosen(e), lasts, func(n *node, p *process.Process, on bool) { r.failCalls(at, e, n, on) })
 	case "spoil_servers":
 		for _, s := range r.some(e) {
-			s.SetMalformedFraction(e.Chance)
+			s.SetMalformedFraction(e.Probability)
 			r.work.Go(func() {
 				r.sleep(lasts)
 				s.SetMalformedFraction(0)
@@ -260,9 +260,9 @@
 	r.mu.Lock()
 	s := n.shim
 	r.mu.Unlock()
-	for _, call := range e.Calls {
+	for _, call := range e.Syscalls {
 		if on {
-			s.SetFailureProbability(calls[call], e.Chance)
+			s.SetFailureProbability(calls[call], e.Probability)
 		} else {
 			s.SetFailureProbability(calls[call], 0)
 		}
@@ -278,14 +278,14 @@
 	if s.Zones > 1 {
 		return s.zone(index) < s.Zones/2
 	} else if index >= s.Nodes {
-		return index-s.Nodes < s.Control/2
+		return index-s.Nodes < s.ControlMachines/2
 	}
 	return index < s.Nodes/2
 }
 
 // generations tells that one of two processes is the other's control machine.
 func (r *rig) generations(i, j int) bool {
-	return r.s.Control > 0 && (i < r.s.Nodes) != (j < r.s.Nodes)
+	return r.s.ControlMachines > 0 && (i < r.s.Nodes) != (j < r.s.Nodes)
 }
 
 // wordWay is the way of words from one process to another, where there is one.
@@ -293,7 +293,7 @@
 	switch n := r.s.Nodes; {
 	case r.generations(from, to):
 		return []*emulator.Direction{r.below.Direction(from, to)}
-	case r.s.Control == 0:
+	case r.s.ControlMachines == 0:
 		return []*emulator.Direction{r.words.Direction(from, to)}
 	case from >= n:
 		return []*emulator.Direction{r.words.Direction(from-n, to-n)}
@@ -335,7 +335,7 @@
 	nodes := r.chosen(e)
 	for _, n := range nodes {
 		for _, to := range []bool{true, false} {
-			if to && e.Way == "from" || !to && e.Way == "to" {
+			if to && e.Direction == "from" || !to && e.Direction == "to" {
 				continue
 			}
 			if e.Link != "peers" && e.Link != "children" {
@@ -362,7 +362,7 @@
 			w.Set(emulator.Pass, 0)
 			w.SetRandomFaults(0, 0, 0)
 		} else {
-			w.SetRandomFaults(e.Lose, e.Twice, e.Late)
+			w.SetRandomFaults(e.Loss, e.Duplicate, e.Reorder)
 		}
 	}, lasts)
 	if holds := e.Mode == "drop" || e.Mode == "stall" || e.Delay > 0; holds && e.Link == "servers" { // a server whose answer is held back reads no end either
@@ -381,7 +381,7 @@
 // restart ends a node's process, at once or in order, and starts it anew with nothing remembered after a while.
 func (r *rig) restart(at int, e Event, n *node) {
 	p := r.process(n)
-	if e.Ready {
+	if e.AwaitReady {
 		select {
 		case <-p.Ready:
 		case <-p.Exited:
@@ -390,7 +390,7 @@
 		}
 	}
 	r.disturb(n, true)
-	if e.Do == "kill" {
+	if e.Kind == "kill" {
 		if p.Kill() {
 			r.acted(at, 1)
 		}
@@ -399,8 +399,8 @@
 			r.acted(at, 1)
 		}
 	}
-	if r.sleep(time.Duration(e.For)) {
-		r.startNode(at, n, time.Duration(e.Clock), false)
+	if r.sleep(time.Duration(e.Duration)) {
+		r.startNode(at, n, time.Duration(e.ClockOffset), false)
 	}
 	r.disturb(n, false)
 }
@@ -415,7 +415,7 @@
 			up = append(up, s)
 		}
 	}
-	for _, i := range r.rng.Perm(len(up))[:part(len(up), e.Part)] {
+	for _, i := range r.rng.Perm(len(up))[:part(len(up), e.Fraction)] {
 		found = append(found, up[i])
 	}
 	return found
@@ -429,13 +429,13 @@
 			r.fail("a server does not start: %v", err)
 			return
 		}
-		if !r.sleep(time.Duration(r.s.List.Lag) + 50*time.Millisecond) {
+		if !r.sleep(time.Duration(r.s.ListService.PropagationDelay) + 50*time.Millisecond) {
 			return
 		}
 		r.leave(old[i], "draining")
 		old[i].Drain()
 		r.acted(at, 1)
-		if r.sleep(time.Duration(e.For)) {
+		if r.sleep(time.Duration(e.Duration)) {
 			r.leave(old[i], "removed")
 			old[i].Stop()
 		}
