--- a/cmd/brassmux/internal/cli/rig.go
+++ b/cmd/brassmux/internal/cli/rig.go
@@ -32,7 +32,8 @@
 		Short: "Start many processes of this program, put faults between them, and count at the receivers",
 		Long: "rig starts processes of this program on the loopback with stand-in servers, a list service and " +
 			"clients. Every link goes\nthrough the rig, which can drop, stall, delay, reset or cut what passes. A " +
-			"scenario is a file or one of\n" + strings.Join(rig.EmbeddedNames(), ", ") + ".\nExit code 1 where a rule was " +
+			"scenario is a file or one of\n" + strings.Join(rig.EmbeddedNames(), ", ") +
+			".\nExit code 1 where a rule was " +
 			"broken or the run says nothing (void).",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, names []string) error {
@@ -117,7 +118,8 @@
 	for i, e := range s.Events {
 		fmt.Fprintf(table, "  %s acted\t%d\n", e.Kind, r.EventEffects[i])
 	}
-	fmt.Fprintf(table, "  words between nodes, bytes a second\t%.0f, %.0f\n", r.Datagrams.PerSecond, r.Datagrams.BytesPerSecond)
+	fmt.Fprintf(table, "  words between nodes, bytes a second\t%.0f, %.0f\n", r.Datagrams.PerSecond,
+		r.Datagrams.BytesPerSecond)
 	return table.Flush()
 }
 
--- a/lab/rig/result.go
+++ b/lab/rig/result.go
@@ -13,62 +13,71 @@
 	"brassmux/lab/process"
 )
 
-// Result is what a run has counted.
+// Result is what a run has measured.
 type Result struct {
-	Scenario             string             `json:"scenario"`
-	Seed                 uint64             `json:"seed"`
-	Nodes                int                `json:"nodes"`
-	InvalidReason        string             `json:"void"`      // why the run says nothing; "" where it does
-	MaxLatenessMS        float64            `json:"late_ms"`   // the most by which the rig itself was late
-	Served               float64            `json:"served"`    // part of the time wanted in which clients stood at a server within what it can do
-	Violations           checker.Violations `json:"broken"`    // rules
-	SlowStartUtilization float64            `json:"cold_used"` // the fullest window of a cold server, what came over what may come
-	Totals               map[string]int     `json:"totals"`    // counted at clients, servers and the list service
-	EventEffects         []int              `json:"effects"`   // by event: how often it was seen to act at who met it
-	Counters             map[string]float64 `json:"counters"`  // the nodes' own, summed over all processes that told theirs
-	Datagrams            DatagramRates      `json:"words"`
-	Seconds              []Second           `json:"seconds"` // the day, second by second
-	ListDelays           ListDelays         `json:"lists"`
-	StartupTimes         []StartupTimes     `json:"ready"`   // first the day's start, then each event that started processes
-	ListRecovery         ListDelays         `json:"back"`    // the same, from when the list service was back
-	Peaks                map[string]int     `json:"peaks"`   // the most in any second: of calls for the list, and at any one server
-	History              []string           `json:"history"` // of what broke a rule, the first few, and the logs of the nodes in it
+	Scenario string `json:"scenario"`
+	Seed     uint64 `json:"seed"`
+	Nodes    int    `json:"nodes"`
+	// InvalidReason tells why the run proves nothing; "" for a valid run.
+	InvalidReason string  `json:"void"`
+	MaxLatenessMS float64 `json:"late_ms"` // of the harness itself
+	// Served is the fraction of the wanted connection time in which the server was within its capacity.
+	Served     float64            `json:"served"`
+	Violations checker.Violations `json:"broken"`
+	// SlowStartUtilization is the maximum, over all windows, of the attempts at a server in slow start over the limit.
+	SlowStartUtilization float64        `json:"cold_used"`
+	Totals               map[string]int `json:"totals"` // counters of the clients, the servers and the list service
+	// EventEffects is how often each event was observed to affect its targets.
+	EventEffects []int `json:"effects"`
+	// Counters are the counters of the nodes, summed over all processes that reported them.
+	Counters   map[string]float64 `json:"counters"`
+	Datagrams  DatagramRates      `json:"words"`
+	Seconds    []Second           `json:"seconds"` // each second of the run
+	ListDelays ListDelays         `json:"lists"`   // from the start of a process
+	// StartupTimes has an entry for the start of the run, then one for each event that started processes.
+	StartupTimes []StartupTimes `json:"ready"`
+	ListRecovery ListDelays     `json:"back"` // from the end of an outage of the list service
+	// Peaks are the maxima in any second: of list calls, and of connections and health checks at one server.
+	Peaks map[string]int `json:"peaks"`
+	// History describes the first violations, and has excerpts from the logs of the nodes involved.
+	History []string `json:"history"`
 }
 
-// ListDelays tells how long processes of nodes were without word of the list service, in seconds from their starts.
+// ListDelays is the distribution of the time until a process was notified by the list service, in seconds.
 type ListDelays struct {
 	Starts  int     `json:"starts"`
-	Median  float64 `json:"half"` // half of those that got it had it within
+	Median  float64 `json:"half"`
 	P99     float64 `json:"p99"`
 	Max     float64 `json:"all"`
-	Missing int     `json:"never"` // none came as long as they ran
+	Missing int     `json:"never"` // starts without a notification until the process or the run ended
 }
 
-// StartupTimes tells how long processes took from their starts until they first answered PONG, in seconds.
+// StartupTimes is the distribution of the time from the start of a process to its first PONG, in seconds.
 type StartupTimes struct {
-	Event      int     `json:"event"` // its place among the scenario's; -1 for the day's start
+	Event      int     `json:"event"` // index in the scenario; -1 for the start of the run
 	Starts     int     `json:"starts"`
-	Median     float64 `json:"half"` // half of those that did had done so within
+	Median     float64 `json:"half"`
 	P90        float64 `json:"nine_in_ten"`
 	Max        float64 `json:"all"`
-	NeverReady int     `json:"never"` // ended, or the day did, before
+	NeverReady int     `json:"never"` // processes that were not ready when they or the run ended
 }
 
-// Second is where clients were in one second of the day, as means of ten looks, and how full servers were.
+// Second has the clients by state in one second of the run, as means of ten samples, and the load of the servers.
 type Second struct {
-	Served     float64 `json:"served"`  // stood at a server within what it can do
-	Overloaded float64 `json:"crowded"` // stood at one beyond that
-	Waiting    float64 `json:"waiting"` // stood nowhere
+	Served     float64 `json:"served"`  // connected to a server within its capacity
+	Overloaded float64 `json:"crowded"` // connected to an overloaded server
+	Waiting    float64 `json:"waiting"` // not connected
 
-	Utilization map[string]float64 `json:"loads"` // by server: asked of it over what it can do, at the second's last look
+	// Utilization is the load over the capacity of each server at the last sample.
+	Utilization map[string]float64 `json:"loads"`
 }
 
-// DatagramRates counts what nodes told one another, a second.
+// DatagramRates are the datagrams and bytes per second that the processes sent one another.
 type DatagramRates struct {
 	PerSecond         float64 `json:"words"`
 	BytesPerSecond    float64 `json:"bytes"`
-	MaxPerSecond      float64 `json:"busiest_words"` // sent by the node that sends most
-	MaxBytesPerSecond float64 `json:"busiest_bytes"`
+	MaxPerSecond      float64 `json:"busiest_words"` // by one process
+	MaxBytesPerSecond float64 `json:"busiest_bytes"` // by one process
 }
 
 func mostInASecond(times []time.Time) (most int) {
--- a/lab/rig/scenario.go
+++ b/lab/rig/scenario.go
@@ -1,5 +1,6 @@
-// Package rig starts many processes of the program on the loopback, with stand-in servers, a list service and clients, puts
-// faults on every link and process, and has a checker count at the receivers.
+// Package rig runs scenarios with many processes of the program on the loopback, together with stand-in servers, a list
+// service and clients. It injects faults into every link and process, and a checker verifies the history that the
+// receivers record.
 package rig
 
 import (
@@ -13,75 +14,92 @@
 	"brassmux/lab/shim"
 )
 
-// Scenario is a scripted day. Times are written as in "1.5s".
+// Scenario describes a run: its processes, its clients and the faults that are injected. Durations are written as in
+// "1.5s".
 type Scenario struct {
-	Name            string      `toml:"name"`
-	Description     string      `toml:"about"`
-	Length          Duration    `toml:"length"`
-	Nodes           int         `toml:"nodes"`
-	ControlMachines int         `toml:"control"` // control machines beside the nodes, numbered after them; 0 means that the nodes deal with one another
-	Zones           int         `toml:"zones"`   // nodes and control machines are spread over them; 0 means 1
-	FleetSize       int         `toml:"fleet"`   // of which they are, by their settings; 0 means that they are all
-	Servers         int         `toml:"servers"`
-	Clients         Clients     `toml:"clients"`
-	Server          Server      `toml:"server"`
-	ListService     ListService `toml:"list"`
-	Quotas          Quotas      `toml:"budgets"`
-	UseShim         bool        `toml:"shim"`    // processes run under a shim, so that their wall clocks can be stepped and their system calls fail
-	InheritSocket   bool        `toml:"inherit"` // each node has a listening socket that its processes inherit, so that they can be upgraded
-	Events          []Event     `toml:"events"`
+	Name        string   `toml:"name"`
+	Description string   `toml:"about"`
+	Length      Duration `toml:"length"`
+	Nodes       int      `toml:"nodes"`
+	// ControlMachines is the number of control machines, numbered after the nodes; 0 means that the nodes exchange
+	// leases with one another.
+	ControlMachines int `toml:"control"`
+	// Zones is the number of zones over which nodes and control machines are spread; 0 means 1.
+	Zones int `toml:"zones"`
+	// FleetSize is the number of nodes in the fleet according to the nodes' settings; 0 means Nodes.
+	FleetSize   int         `toml:"fleet"`
+	Servers     int         `toml:"servers"`
+	Clients     Clients     `toml:"clients"`
+	Server      Server      `toml:"server"`
+	ListService ListService `toml:"list"`
+	Quotas      Quotas      `toml:"budgets"`
+	// UseShim runs the processes under a shim, which can step their wall clocks and make their system calls fail.
+	UseShim bool `toml:"shim"`
+	// InheritSocket gives each node a listening socket that its processes inherit, so that they can be upgraded live.
+	InheritSocket bool    `toml:"inherit"`
+	Events        []Event `toml:"events"`
 }
 
-// Duration is a time as a scenario writes it.
+// Duration is written in a scenario as in "1.5s".
 type Duration = scenario.Duration
 
-// Clients says who comes. A client that is refused or cut off comes again after a time between the two of rejoin.
+// Clients describes the clients.
 type Clients struct {
-	Initial               int         `toml:"standing"`
-	Customers             int         `toml:"customers"` // whose connections they are, in turn; 0 means that each is its own
-	PerSecond             float64     `toml:"per_second"`
-	MeanDuration          Duration    `toml:"life"`
-	Deadline              Duration    `toml:"deadline"`
-	ReconnectDelay        [2]Duration `toml:"rejoin"`
-	BusyNodeWeight        float64     `toml:"uneven"` // a tenth of the nodes, one at the least, gets so many times what another does; 0 means 1
-	MisbehavingPerSecond  float64     `toml:"odd"`    // clients a second that misbehave
-	NotIdempotentFraction float64     `toml:"unsafe"` // part of the clients whose requests must not be repeated
-	KeyedFraction         float64     `toml:"keyed"`  // and whose repeats are dropped for a while
+	Initial int `toml:"standing"` // connect within two seconds of the start
+	// Customers is the number of customers, one of which is drawn for each client; 0 means that each client is its own
+	// customer.
+	Customers    int      `toml:"customers"`
+	PerSecond    float64  `toml:"per_second"` // new clients
+	MeanDuration Duration `toml:"life"`       // of the time for which a client wants a connection
+	Deadline     Duration `toml:"deadline"`   // for an answer
+	// ReconnectDelay bounds the delay after a rejection or a lost connection.
+	ReconnectDelay [2]Duration `toml:"rejoin"`
+	// BusyNodeWeight is the traffic of each busy node over that of any other node; 0 means 1. A tenth of the nodes is
+	// busy, at least one.
+	BusyNodeWeight        float64 `toml:"uneven"`
+	MisbehavingPerSecond  float64 `toml:"odd"`    // misbehaving clients
+	NotIdempotentFraction float64 `toml:"unsafe"` // of the clients: their requests must not be repeated
+	KeyedFraction         float64 `toml:"keyed"`  // of the clients: servers drop repetitions of their requests for a while
 }
 
-// Server says what each server is like.
+// Server describes each server.
 type Server struct {
-	Capacity             int      `toml:"holds"`
-	SlowStartMinCapacity float64  `toml:"cold_from"`
-	SlowStartDuration    Duration `toml:"cold_for"`
+	Capacity             int      `toml:"holds"`     // connections
+	SlowStartMinCapacity float64  `toml:"cold_from"` // fraction of the capacity at the start
+	SlowStartDuration    Duration `toml:"cold_for"`  // until the full capacity
 	OverloadFactor       float64  `toml:"fall_multiple"`
-	OverloadWindow       Duration `toml:"fall_window"`
-	DrainGrace           Duration `toml:"grace"`
+	OverloadWindow       Duration `toml:"fall_window"` // in which attempts are held to the overload factor
+	DrainGrace           Duration `toml:"grace"`       // for attempts after a node learns that the server drains
 }
 
-// ListService says what the list service is like.
+// ListService describes the list service.
 type ListService struct {
-	CallsPerSecond    float64  `toml:"per_second"` // calls that it works through
-	CallTimeout       Duration `toml:"patience"`   // a call that waits longer fails, and is worked on all the same
-	PropagationDelay  Duration `toml:"lag"`
-	EmptyInitialList  bool     `toml:"unknown"` // nodes that start know no server; else the list as it is then
-	NotificationGrace Duration `toml:"told"`    // a change counts as told to all nodes so long after the service had it and could be reached; 0 for when it was written
+	CallsPerSecond   float64  `toml:"per_second"` // calls processed
+	CallTimeout      Duration `toml:"patience"`   // a call that waits for longer fails but is processed all the same
+	PropagationDelay Duration `toml:"lag"`        // until a change of a server is in the list
+	// EmptyInitialList starts nodes without any known server; otherwise they start with the current list.
+	EmptyInitialList bool `toml:"unknown"`
+	// NotificationGrace is the time after which a departing server counts as reported to all nodes, from when the
+	// service has the change and is reachable; 0 means that it counts as reported when it was written to the node.
+	NotificationGrace Duration `toml:"told"`
 }
 
-// Quotas says how the nodes share what all of them may do.
+// Quotas describes the limits that all nodes share, and how they divide them. A limit of 0 is unlimited.
 type Quotas struct {
-	Leased             bool    `toml:"lease"` // among one another; else each has its fixed part
-	GuaranteedFraction float64 `toml:"floor"` // part of the whole that is fixed parts
+	Leased             bool    `toml:"lease"` // from one another; otherwise each node has a fixed quota
+	GuaranteedFraction float64 `toml:"floor"` // of a limit that is divided into fixed quotas
 
-	RetriesPerSecond      int `toml:"retries_per_s"`    // further attempts of requests, of all nodes in any second; 0 means no bound, here and below
-	ListCallsPerSecond    int `toml:"list_calls_per_s"` // for the list
+	RetriesPerSecond      int `toml:"retries_per_s"`    // further attempts of requests, by all nodes
+	ListCallsPerSecond    int `toml:"list_calls_per_s"` // calls of the list service
 	HealthChecksPerSecond int `toml:"probes_per_s"`     // of each server
 	ConnectsPerSecond     int `toml:"connects_per_s"`   // new connections to each server
-	MovesPerSecond        int `toml:"moves_per_s"`      // clients moved off each server for its relief
+	MovesPerSecond        int `toml:"moves_per_s"`      // clients moved off each server to rebalance it
 	OpensPerSecond        int `toml:"opens_per_s"`      // new connections of each customer
 
-	OpenPerCustomer int      `toml:"open_per_customer"` // at once; 0 means no bound
-	OpenLeaseTerm   Duration `toml:"open_lease"`        // of what is over a node's own part of that; 0 means the program's default
+	OpenPerCustomer int `toml:"open_per_customer"` // concurrent connections
+	// OpenLeaseTerm is the lease term of a concurrent connection beyond a node's fixed quota; 0 means the program's
+	// default.
+	OpenLeaseTerm Duration `toml:"open_lease"`
 }
 
 // rates are the bounds by their keys.
@@ -90,29 +108,32 @@
 		"moves_per_s": b.MovesPerSecond, "opens_per_s": b.OpensPerSecond, "open_per_customer": b.OpenPerCustomer}
 }
 
-// Event is something that goes wrong.
+// Event is a fault, or a planned change such as a restart, that is injected during the run.
 type Event struct {
-	At         Duration `toml:"at"`
-	Kind       string   `toml:"do"`
-	Fraction   float64  `toml:"part"`  // of the nodes or servers
-	Stagger    Duration `toml:"over"`  // spread over this time,
-	Steps      int      `toml:"steps"` // in so many steps; 0 means one by one
-	Duration   Duration `toml:"for"`
-	Nodes      []int    `toml:"nodes"` // these, in place of a part
-	AwaitReady bool     `toml:"ready"` // kill, stop: each only once its process is ready, or has had the time for it
-	Group      string   `toml:"of"`    // "control": a part of the control machines, in place of the nodes
+	At       Duration `toml:"at"`
+	Kind     string   `toml:"do"`
+	Fraction float64  `toml:"part"`  // of the nodes or servers
+	Stagger  Duration `toml:"over"`  // the time over which the targets are hit one after another
+	Steps    int      `toml:"steps"` // groups in which they are hit; 0 means one by one
+	// Duration is how long the fault lasts; with kill, stop and crash_servers the time until the restart, with
+	// replace_servers how long an old server drains.
+	Duration Duration `toml:"for"`
+	Nodes    []int    `toml:"nodes"` // in place of a fraction
+	// AwaitReady makes kill and stop wait for each process to be ready, for at most readyTimeout.
+	AwaitReady bool   `toml:"ready"`
+	Group      string `toml:"of"` // "control" draws the fraction from the control machines in place of the nodes
 
 	Link        string   `toml:"link"` // peers, children, list, servers or clients
 	Direction   string   `toml:"way"`  // to the node, from it, or both
 	Mode        string   `toml:"mode"` // pass, drop, stall, reset, cut
 	Delay       Duration `toml:"delay"`
-	Loss        float64  `toml:"lose"`  // parts of the words between nodes that are lost,
-	Duplicate   float64  `toml:"twice"` // come twice,
-	Reorder     float64  `toml:"late"`  // or come late and so in another order
-	ClockOffset Duration `toml:"clock"` // by which a restarted node's wall clock is off, or by which it is stepped
+	Loss        float64  `toml:"lose"`  // probability that a datagram is lost
+	Duplicate   float64  `toml:"twice"` // probability that a datagram is duplicated
+	Reorder     float64  `toml:"late"`  // probability that a datagram is late and so reordered
+	ClockOffset Duration `toml:"clock"` // of the wall clock of a restarted node, or of one whose clock is stepped
 
-	Syscalls    []string `toml:"calls"`  // system calls that fail by chance: accept, socket, connect
-	Probability float64  `toml:"chance"` // of a call to fail, or of a server's answer to be spoilt
+	Syscalls    []string `toml:"calls"`  // system calls that fail at random: accept, socket, connect
+	Probability float64  `toml:"chance"` // that a call fails, or that a server's answer is malformed
 }
 
 // group is how many deal with one another as equals: the control machines, or the nodes where there are none.
