--- a/lab/rig/nodes.go
+++ b/lab/rig/nodes.go
@@ -18,184 +18,184 @@
 
 // node is a place among the nodes, through the starts of its processes.
 type node struct {
-	index     int
-	now       *process.Process
-	second    *process.Process // under the same name
-	began     time.Time        // this start, until it had word of the list
-	back      time.Time        // when the list service was back, until it had word of it
-	disturbed time.Time        // since when the rig does something to it; the zero time for not
-	shim      *shim.Shim       // under its process; nil where there is none
-	elsewhere bool             // its process asks the list service's other address
-	socket    *os.File         // on which its processes listen, one after the other; nil where each has its own
-	addr      string           // that socket's
-	folder    string           // where two of them meet in an upgrade
+	index                int
+	current              *process.Process
+	duplicate            *process.Process // under the same name
+	listPendingSince     time.Time        // this start, until it had word of the list
+	recoveryPendingSince time.Time        // when the list service was back, until it had word of it
+	disturbedSince       time.Time        // since when the rig does something to it; the zero time for not
+	shim                 *shim.Shim       // under its process; nil where there is none
+	usesAlternateList    bool             // its process asks the list service's other address
+	listenSocket         *os.File         // on which its processes listen, one after the other; nil where each has its own
+	listenAddr           string           // that socket's
+	handoverDir          string           // where two of them meet in an upgrade
 }
 
 // listen opens the socket that a node's processes inherit.
 func (n *node) listen() error {
-	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return err
 	}
-	defer l.Close() // the file is a copy
-	n.addr = l.Addr().String()
-	if n.socket, err = l.File(); err != nil {
+	defer listener.Close() // the file is a copy
+	n.listenAddr = listener.Addr().String()
+	if n.listenSocket, err = listener.File(); err != nil {
 		return err
 	}
-	n.folder, err = os.MkdirTemp("", "n") // a socket's name must be short
+	n.handoverDir, err = os.MkdirTemp("", "n") // a socket's name must be short
 	return err
 }
 
 // close gives up what listen took.
 func (n *node) close() {
-	if n.socket != nil {
-		n.socket.Close()
-		os.RemoveAll(n.folder)
+	if n.listenSocket != nil {
+		n.listenSocket.Close()
+		os.RemoveAll(n.handoverDir)
 	}
 }
 
 // inherits has a command that was not started yet inherit the node's socket.
-func (n *node) inherits(cmd *exec.Cmd) {
-	const firstExtra = 3
-	if n.socket != nil {
-		cmd.Env = append(cmd.Env, fmt.Sprintf("LB_LISTEN_FD=%d", firstExtra+len(cmd.ExtraFiles)), "TMPDIR="+n.folder)
-		cmd.ExtraFiles = append(cmd.ExtraFiles, n.socket)
+func (n *node) inheritSocket(cmd *exec.Cmd) {
+	const firstExtraFD = 3
+	if n.listenSocket != nil {
+		cmd.Env = append(cmd.Env, fmt.Sprintf("LB_LISTEN_FD=%d", firstExtraFD+len(cmd.ExtraFiles)), "TMPDIR="+n.handoverDir)
+		cmd.ExtraFiles = append(cmd.ExtraFiles, n.listenSocket)
 	}
 }
 
 // under gives what is put under a process of a node that is started now, nil where the scenario wants nothing, and how its command is
 // prepared. The process is started under the wall clock that the node's machine has now.
-func (r *rig) under(n *node, event int) (*shim.Shim, func(*exec.Cmd), error) {
-	if r.library == nil {
-		return nil, n.inherits, nil
+func (r *run) newShim(n *node, event int) (*shim.Shim, func(*exec.Cmd), error) {
+	if r.shimLibrary == nil {
+		return nil, n.inheritSocket, nil
 	}
-	s, err := r.library.NewShim(r.o.Seed<<16 + uint64(n.index)<<8 + uint64(event+1))
+	nodeShim, err := r.shimLibrary.NewShim(r.options.Seed<<16 + uint64(n.index)<<8 + uint64(event+1))
 	if err != nil {
 		return nil, nil, err
 	}
 	r.mu.Lock()
 	if n.shim != nil {
-		s.SetClockOffset(n.shim.ClockOffset())
+		nodeShim.SetClockOffset(n.shim.ClockOffset())
 	}
 	r.mu.Unlock()
-	return s, func(cmd *exec.Cmd) {
-		r.library.Prepare(s, cmd)
-		n.inherits(cmd)
+	return nodeShim, func(cmd *exec.Cmd) {
+		r.shimLibrary.Prepare(nodeShim, cmd)
+		n.inheritSocket(cmd)
 	}, nil
 }
 
-func (r *rig) config(n *node, clock time.Duration) map[string]any {
-	v := r.s.Server
-	version, known := r.list.Snapshot(n.index)
-	up := []emulator.Endpoint{}
-	if r.s.ListService.EmptyInitialList {
-		version, known = 0, nil
+func (r *run) nodeConfig(n *node, clockOffset time.Duration) map[string]any {
+	server := r.scenario.Server
+	version, servers := r.listService.Snapshot(n.index)
+	upServers := []emulator.Endpoint{}
+	if r.scenario.ListService.EmptyInitialList {
+		version, servers = 0, nil
 	}
-	for _, e := range known {
-		if e.State == "up" {
-			up = append(up, e)
+	for _, endpoint := range servers {
+		if endpoint.State == "up" {
+			upServers = append(upServers, endpoint)
 		}
 	}
 	r.mu.Lock()
 	seed := fmt.Sprintf("%016x", r.rng.Uint64())
 	r.mu.Unlock()
-	us := func(d Duration) int64 { return time.Duration(d).Microseconds() }
-	cfg := map[string]any{"name": fmt.Sprintf("n%d", n.index), "listen": "127.0.0.1:0", "discovery": r.list.Addr(), "seed": seed, "source": emulator.SourceAddr(n.index).String(),
+	microseconds := func(duration Duration) int64 { return time.Duration(duration).Microseconds() }
+	cfg := map[string]any{"name": fmt.Sprintf("n%d", n.index), "listen": "127.0.0.1:0", "discovery": r.listService.Addr(), "seed": seed, "source": emulator.SourceAddr(n.index).String(),
 		"limits": map[string]any{"cores": 1, "sockets": 4096},
-		"known":  map[string]any{"version": version, "full": true, "servers": up},
-		"settings": map[string]any{"balancers": max(r.s.Nodes, r.s.FleetSize), "index": n.index, "tick_us": 5000, "membership_mode": "on_request",
+		"known":  map[string]any{"version": version, "full": true, "servers": upServers},
+		"settings": map[string]any{"balancers": max(r.scenario.Nodes, r.scenario.FleetSize), "index": n.index, "tick_us": 5000, "membership_mode": "on_request",
 			"ceilings": map[string]any{"dial_timeout_us": 200000, "keepalive_us": 5000000, "max_open": 2000, "max_retry_after_us": 1000000,
-				"may_probe": true, "retry_after": true, "send_cap": 3, "peers": r.s.Quotas.Leased},
-			"classes":     r.classes(),
-			"family_info": map[string]any{"message_aim_us": []float64{300000}, "tenant_quota_connections": []float64{r.connections()}},
+				"may_probe": true, "retry_after": true, "send_cap": 3, "peers": r.scenario.Quotas.Leased},
+			"classes":     r.classConfigs(),
+			"family_info": map[string]any{"message_aim_us": []float64{300000}, "tenant_quota_connections": []float64{r.expectedConnections()}},
 			"report":      map[string]any{"fields": []string{"x0"}, "via": "probe"},
-			"rules": map[string]any{"cold_from": v.SlowStartMinCapacity, "cold_us": us(v.SlowStartDuration), "fall_multiple": v.OverloadFactor,
-				"fall_us": us(v.OverloadWindow)}}}
-	if n.socket != nil {
-		cfg["listen"] = n.addr
+			"rules": map[string]any{"cold_from": server.SlowStartMinCapacity, "cold_us": microseconds(server.SlowStartDuration), "fall_multiple": server.OverloadFactor,
+				"fall_us": microseconds(server.OverloadWindow)}}}
+	if n.listenSocket != nil {
+		cfg["listen"] = n.listenAddr
 	}
-	if clock != 0 {
-		cfg["lab"] = map[string]any{"clock_off_ms": clock.Milliseconds()}
+	if clockOffset != 0 {
+		cfg["lab"] = map[string]any{"clock_off_ms": clockOffset.Milliseconds()}
 	}
-	if r.s.Quotas.Leased {
-		cfg["peers"] = r.peers(n.index)
-		cfg["budgets"] = map[string]any{"lease": true, "floor": r.s.Quotas.GuaranteedFraction}
-		for key, n := range r.s.Quotas.rates() {
-			cfg["budgets"].(map[string]any)[key] = n
+	if r.scenario.Quotas.Leased {
+		cfg["peers"] = r.peerConfig(n.index)
+		cfg["budgets"] = map[string]any{"lease": true, "floor": r.scenario.Quotas.GuaranteedFraction}
+		for key, limit := range r.scenario.Quotas.limits() {
+			cfg["budgets"].(map[string]any)[key] = limit
 		}
-		cfg["budgets"].(map[string]any)["open_lease_ms"] = time.Duration(r.s.Quotas.OpenLeaseTerm).Milliseconds()
+		cfg["budgets"].(map[string]any)["open_lease_ms"] = time.Duration(r.scenario.Quotas.OpenLeaseTerm).Milliseconds()
 	}
 	return cfg
 }
 
 // peers are the ways between the processes as one of them is told.
-func (r *rig) peers(index int) map[string]any {
-	s, p, addrs := r.s, map[string]any{"listen": "127.0.0.1:0"}, []string{}
-	if s.ControlMachines > 0 && index < s.Nodes {
-		for _, c := range s.preference(index) {
-			addrs = append(addrs, r.below.Addr(c))
+func (r *run) peerConfig(index int) map[string]any {
+	scenario, peers, addrs := r.scenario, map[string]any{"listen": "127.0.0.1:0"}, []string{}
+	if scenario.ControlMachines > 0 && index < scenario.Nodes {
+		for _, control := range scenario.controlMachinesByZone(index) {
+			addrs = append(addrs, r.childNetwork.Addr(control))
 		}
-		p["control"] = addrs
-		return p
+		peers["control"] = addrs
+		return peers
 	}
-	for i := range s.group() {
-		addrs = append(addrs, r.words.Addr(i))
+	for i := range scenario.peerCount() {
+		addrs = append(addrs, r.peerNetwork.Addr(i))
 	}
-	p["nodes"] = addrs
-	if s.ControlMachines > 0 {
-		p["children"], p["index"] = "127.0.0.1:0", index-s.Nodes
+	peers["nodes"] = addrs
+	if scenario.ControlMachines > 0 {
+		peers["children"], peers["index"] = "127.0.0.1:0", index-scenario.Nodes
 	}
-	return p
+	return peers
 }
 
 // classes are those of the nodes' settings: one of each effect, of which the first is named like the servers' stand-ins know it.
-func (r *rig) classes() (all []any) {
-	deadline := time.Duration(r.s.Clients.Deadline).Microseconds()
-	return append(all,
+func (r *run) classConfigs() (configs []any) {
+	deadline := time.Duration(r.scenario.Clients.Deadline).Microseconds()
+	return append(configs,
 		map[string]any{"name": className(checker.Idempotent), "effect": "read_like", "deadline_us": deadline},
 		map[string]any{"name": className(checker.NotIdempotent), "effect": "non_idempotent", "deadline_us": deadline},
 		map[string]any{"name": className(checker.KeyedIdempotent), "effect": "idempotency_key", "key_scope": "all",
-			"window_us": keyedWindow.Microseconds(), "deadline_us": deadline})
+			"window_us": idempotencyWindow.Microseconds(), "deadline_us": deadline})
 }
 
 // dayStart stands for the event of the day's start.
-const dayStart = -1
+const runStart = -1
 
 // startNode starts a process of a node, as an event has it, and returns once it serves. Its known list is the service's as it is, so what it is
 // told thereby counts as told.
-func (r *rig) startNode(event int, n *node, clock time.Duration, second bool) *process.Process {
-	if !second {
-		r.ref.NodeRestarted(n.index)
+func (r *run) startNode(event int, n *node, clockOffset time.Duration, isDuplicate bool) *process.Process {
+	if !isDuplicate {
+		r.checker.NodeRestarted(n.index)
 		r.mu.Lock()
-		n.began = time.Now()
+		n.listPendingSince = time.Now()
 		r.mu.Unlock()
 	}
-	cfg, begun := r.config(n, clock), time.Now()
-	for _, e := range cfg["known"].(map[string]any)["servers"].([]emulator.Endpoint) {
-		if e.Started > 0 {
-			r.ref.EndpointReported(n.index, e.ID, false, time.UnixMilli(e.Started), time.Now())
+	cfg, startedAt := r.nodeConfig(n, clockOffset), time.Now()
+	for _, endpoint := range cfg["known"].(map[string]any)["servers"].([]emulator.Endpoint) {
+		if endpoint.Started > 0 {
+			r.checker.EndpointReported(n.index, endpoint.ID, false, time.UnixMilli(endpoint.Started), time.Now())
 		}
 	}
-	under, prepare, err := r.under(n, event)
+	nodeShim, prepare, err := r.newShim(n, event)
 	if err != nil {
 		r.fail("node %d does not start: %v", n.index, err)
 		return nil
 	}
-	p, err := r.starter.StartNode(r.o.Binary, n.index, cfg, prepare, func(p *process.Process, line map[string]any) {
-		for _, kind := range []string{"peers", "children"} {
-			at, ok := line["address"].(string)
-			if !ok || line["msg"] != "listening for "+kind {
+	p, err := r.starter.StartNode(r.options.Binary, n.index, cfg, prepare, func(p *process.Process, line map[string]any) {
+		for _, socket := range []string{"peers", "children"} {
+			address, ok := line["address"].(string)
+			if !ok || line["msg"] != "listening for "+socket {
 				continue
 			}
-			addr, err := netip.ParseAddrPort(at)
+			addr, err := netip.ParseAddrPort(address)
 			switch {
 			case err != nil:
-			case r.s.ControlMachines == 0:
-				r.words.SetNodeAddr(n.index, addr, second)
-			case n.index < r.s.Nodes || kind == "children":
-				r.below.SetNodeAddr(n.index, addr, second)
+			case r.scenario.ControlMachines == 0:
+				r.peerNetwork.SetNodeAddr(n.index, addr, isDuplicate)
+			case n.index < r.scenario.Nodes || socket == "children":
+				r.childNetwork.SetNodeAddr(n.index, addr, isDuplicate)
 			default:
-				r.words.SetNodeAddr(n.index-r.s.Nodes, addr, second)
+				r.peerNetwork.SetNodeAddr(n.index-r.scenario.Nodes, addr, isDuplicate)
 			}
 		}
 	})
@@ -203,21 +203,21 @@
 		r.fail("node %d does not start: %v", n.index, err)
 		return nil
 	}
-	if under != nil {
-		go under.Serve()
+	if nodeShim != nil {
+		go nodeShim.Serve()
 	}
 	r.mu.Lock()
-	if !second {
-		n.shim = under
+	if !isDuplicate {
+		n.shim = nodeShim
 	}
-	r.starting++
-	if r.logs = append(r.logs, p); second {
-		n.second = p
+	r.startingCount++
+	if r.processes = append(r.processes, p); isDuplicate {
+		n.duplicate = p
 	} else {
-		n.now = p
+		n.current = p
 	}
 	r.mu.Unlock()
-	r.work.Go(func() { r.awaitReady(event, p, begun) })
+	r.tasks.Go(func() { r.awaitReady(event, p, startedAt) })
 	select {
 	case <-p.Listening:
 	case <-p.Exited:
@@ -231,37 +231,37 @@
 }
 
 // disturb notes that the rig does something to a node from now on, or no more.
-func (r *rig) disturb(n *node, on bool) {
+func (r *run) setDisturbed(n *node, disturbed bool) {
 	r.mu.Lock()
-	from := n.disturbed
-	if on && from.IsZero() {
-		n.disturbed = time.Now()
-	} else if !on {
-		n.disturbed = time.Time{}
+	since := n.disturbedSince
+	if disturbed && since.IsZero() {
+		n.disturbedSince = time.Now()
+	} else if !disturbed {
+		n.disturbedSince = time.Time{}
 	}
 	r.mu.Unlock()
-	if !on && !from.IsZero() {
-		r.ref.NodeDisturbed(n.index, from, time.Now())
+	if !disturbed && !since.IsZero() {
+		r.checker.NodeDisturbed(n.index, since, time.Now())
 	}
 }
 
-func (r *rig) process(n *node) *process.Process {
+func (r *run) currentProcess(n *node) *process.Process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return n.now
+	return n.current
 }
 
-func (r *rig) killAll() {
+func (r *run) killAll() {
 	r.mu.Lock()
-	all := slices.Clone(r.logs)
+	processes := slices.Clone(r.processes)
 	r.mu.Unlock()
-	var gone sync.WaitGroup
-	for _, p := range all {
+	var kills sync.WaitGroup
+	for _, p := range processes {
 		select {
 		case <-p.Exited:
 		default:
-			gone.Go(func() { p.Kill() })
+			kills.Go(func() { p.Kill() })
 		}
 	}
-	gone.Wait()
+	kills.Wait()
 }
--- a/lab/rig/odd.go
+++ b/lab/rig/odd.go
@@ -15,149 +15,151 @@
 )
 
 // oddHeld is how long a node may hold a client that says no request: what it is owed, and the rig's slack.
-const oddHeld = 3*time.Second + 300*time.Millisecond
+const maxIdleHold = 3*time.Second + 300*time.Millisecond
 
 // oddClients are clients that misbehave, each in a way of its own. They come once.
-var oddClients = []struct {
+var misbehaviors = []struct {
 	name string
-	play func(c *oddClient)
+	run  func(c *misbehavingClient)
 }{
-	{"leaves before its answer", (*oddClient).leaves},
-	{"ends its sending before its answer", (*oddClient).endsSending},
-	{"breaks before its answer", (*oddClient).breaks},
-	{"says half a request", func(c *oddClient) { c.stays("OPEN half") }},
-	{"says nothing", func(c *oddClient) { c.stays("") }},
-	{"asks whether the node is there, and rests", func(c *oddClient) { c.stays("PING\r\n") }},
-	{"asks after a rest", (*oddClient).asksAfterARest},
-	{"writes ahead", (*oddClient).writesAhead},
-	{"writes in pieces", (*oddClient).writesInPieces},
-	{"floods and leaves", (*oddClient).floods},
+	{"leaves before its answer", (*misbehavingClient).closeBeforeAnswer},
+	{"ends its sending before its answer", (*misbehavingClient).closeWriteBeforeAnswer},
+	{"breaks before its answer", (*misbehavingClient).resetBeforeAnswer},
+	{"says half a request", func(c *misbehavingClient) { c.awaitDisconnect("OPEN half") }},
+	{"says nothing", func(c *misbehavingClient) { c.awaitDisconnect("") }},
+	{"asks whether the node is there, and rests", func(c *misbehavingClient) { c.awaitDisconnect("PING\r\n") }},
+	{"asks after a rest", (*misbehavingClient).requestAfterIdle},
+	{"writes ahead", (*misbehavingClient).writeBeforeAnswer},
+	{"writes in pieces", (*misbehavingClient).requestInPieces},
+	{"floods and leaves", (*misbehavingClient).flood},
 }
 
 // oddClient is one that misbehaves.
-type oddClient struct {
-	r    *rig
-	n    *node
-	conn net.Conn
-	in   *bufio.Reader
-	id   string
+type misbehavingClient struct {
+	run       *run
+	node      *node
+	conn      net.Conn
+	reader    *bufio.Reader
+	requestID string
 
-	asked, settled bool // its request is whole; it has heard its answer, or that there is none
+	requestSent, outcomeReported bool // its request is whole; it has heard its answer, or that there is none
 }
 
 // odd has one misbehave.
-func (r *rig) odd(number int) {
-	n, addr := r.front()
+func (r *run) runMisbehavingClient(number int) {
+	n, addr := r.pickNode()
 	if n == nil {
 		return
 	}
-	dialled, err := (&net.Dialer{Timeout: 2 * time.Second}).Dial("tcp", addr)
+	netConn, err := (&net.Dialer{Timeout: 2 * time.Second}).Dial("tcp", addr)
 	if err != nil {
 		return
 	}
-	tcp := dialled.(*net.TCPConn)
-	conn := emulator.Wrap(tcp, r.way("clients", n.index, false), r.way("clients", n.index, true))
+	tcpConn := netConn.(*net.TCPConn)
+	conn := emulator.Wrap(tcpConn, r.direction("clients", n.index, false), r.direction("clients", n.index, true))
 	defer conn.Close()
-	kind := oddClients[r.draw(len(oddClients))]
-	r.count("odd clients: " + kind.name)
-	c := &oddClient{r: r, n: n, conn: conn, in: bufio.NewReader(conn), id: fmt.Sprintf("o%d-%d", r.o.Seed, number)}
-	kind.play(c)
-	if c.asked && !c.settled { // the day's end cuts it short
-		r.ref.ClientLeft(c.id, time.Now())
+	misbehavior := misbehaviors[r.randomIndex(len(misbehaviors))]
+	r.count("odd clients: " + misbehavior.name)
+	c := &misbehavingClient{run: r, node: n, conn: conn, reader: bufio.NewReader(conn), requestID: fmt.Sprintf("o%d-%d", r.options.Seed, number)}
+	misbehavior.run(c)
+	if c.requestSent && !c.outcomeReported { // the day's end cuts it short
+		r.checker.ClientLeft(c.requestID, time.Now())
 	}
 }
 
-func (c *oddClient) say(text string) bool {
+func (c *misbehavingClient) send(text string) bool {
 	_, err := io.WriteString(c.conn, text)
 	return err == nil
 }
 
 // line is its request, whose time is told in it.
-func (c *oddClient) line(deadline time.Duration) string {
-	return fmt.Sprintf("OPEN %s key-%s c=%s,d=%d\r\n", c.id, c.id, className(checker.Idempotent), deadline.Milliseconds())
+func (c *misbehavingClient) requestLine(deadline time.Duration) string {
+	return fmt.Sprintf("OPEN %s key-%s c=%s,d=%d\r\n", c.requestID, c.requestID, className(checker.Idempotent), deadline.Milliseconds())
 }
 
 // ask sends its request whole.
-func (c *oddClient) ask() bool {
-	deadline := time.Duration(c.r.s.Clients.Deadline)
-	c.asks(deadline)
-	return c.say(c.line(deadline))
+func (c *misbehavingClient) sendRequest() bool {
+	deadline := time.Duration(c.run.scenario.Clients.Deadline)
+	c.reportRequest(deadline)
+	return c.send(c.requestLine(deadline))
 }
 
 // asks tells the checker that the last byte of its request goes out now.
-func (c *oddClient) asks(deadline time.Duration) {
+func (c *misbehavingClient) reportRequest(deadline time.Duration) {
 	now := time.Now()
-	c.r.ref.RequestSent(c.id, c.n.index, c.id, checker.Idempotent, now, now.Add(deadline))
-	c.asked = true
+	c.run.checker.RequestSent(c.requestID, c.node.index, c.requestID, checker.Idempotent, now, now.Add(deadline))
+	c.requestSent = true
 }
 
 // answer waits for the final answer and tells the checker.
-func (c *oddClient) answer() (word string) {
-	c.conn.SetReadDeadline(time.Now().Add(time.Duration(c.r.s.Clients.Deadline) + 2*time.Second))
-	line, err := c.in.ReadString('\n')
-	c.settled = true
+func (c *misbehavingClient) awaitAnswer() (status string) {
+	c.conn.SetReadDeadline(time.Now().Add(time.Duration(c.run.scenario.Clients.Deadline) + 2*time.Second))
+	line, err := c.reader.ReadString('\n')
+	c.outcomeReported = true
 	switch {
 	case err == nil:
-		c.r.ref.AnswerReceived(c.id, time.Now())
-		word, _, _ = strings.Cut(strings.TrimSpace(line), " ")
+		c.run.checker.AnswerReceived(c.requestID, time.Now())
+		status, _, _ = strings.Cut(strings.TrimSpace(line), " ")
 	case errors.Is(err, net.ErrClosed):
-		c.r.ref.ClientLeft(c.id, time.Now())
+		c.run.checker.ClientLeft(c.requestID, time.Now())
 	case !errors.Is(err, os.ErrDeadlineExceeded):
-		c.r.ref.ConnectionClosed(c.id, time.Now())
+		c.run.checker.ConnectionClosed(c.requestID, time.Now())
 	}
-	return word
+	return status
 }
 
 // wait is a while within which an answer may come or not; the day's end cuts it short.
-func (c *oddClient) wait() { c.r.sleep(c.r.between(0, c.r.s.Clients.Deadline/2)) }
+func (c *misbehavingClient) pause() {
+	c.run.sleep(c.run.randomDuration(0, c.run.scenario.Clients.Deadline/2))
+}
 
 // goes tells the checker that it leaves, unless its answer has come.
-func (c *oddClient) goes() {
-	c.settled = true
+func (c *misbehavingClient) reportDeparture() {
+	c.outcomeReported = true
 	c.conn.SetReadDeadline(time.Now().Add(time.Millisecond))
-	if _, err := c.in.ReadByte(); err == nil {
-		c.r.ref.AnswerReceived(c.id, time.Now())
+	if _, err := c.reader.ReadByte(); err == nil {
+		c.run.checker.AnswerReceived(c.requestID, time.Now())
 		return
 	}
-	c.r.ref.ClientLeft(c.id, time.Now())
+	c.run.checker.ClientLeft(c.requestID, time.Now())
 }
 
-func (c *oddClient) leaves() {
-	if c.ask() {
-		c.wait()
-		c.goes()
+func (c *misbehavingClient) closeBeforeAnswer() {
+	if c.sendRequest() {
+		c.pause()
+		c.reportDeparture()
 		c.conn.Close()
 	}
 }
 
-func (c *oddClient) endsSending() {
-	if c.ask() {
-		c.wait()
-		c.goes()
+func (c *misbehavingClient) closeWriteBeforeAnswer() {
+	if c.sendRequest() {
+		c.pause()
+		c.reportDeparture()
 		c.conn.(interface{ CloseWrite() error }).CloseWrite()
-		c.r.sleep(300 * time.Millisecond)
+		c.run.sleep(300 * time.Millisecond)
 	}
 }
 
-func (c *oddClient) breaks() {
-	if c.ask() {
-		c.wait()
-		c.goes()
+func (c *misbehavingClient) resetBeforeAnswer() {
+	if c.sendRequest() {
+		c.pause()
+		c.reportDeparture()
 		c.conn.(interface{ Abort() }).Abort()
 	}
 }
 
 // stays says something that is no request, and waits to be sent away.
-func (c *oddClient) stays(text string) {
-	begun := time.Now()
-	if !c.say(text) {
+func (c *misbehavingClient) awaitDisconnect(text string) {
+	startedAt := time.Now()
+	if !c.send(text) {
 		return
 	}
-	c.conn.SetReadDeadline(begun.Add(oddHeld))
+	c.conn.SetReadDeadline(startedAt.Add(maxIdleHold))
 	for {
-		_, err := c.in.ReadString('\n')
+		_, err := c.reader.ReadString('\n')
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			c.r.ref.ClientNotClosed(fmt.Sprintf("%q", text), c.n.index, time.Now())
+			c.run.checker.ClientNotClosed(fmt.Sprintf("%q", text), c.node.index, time.Now())
 		}
 		if err != nil {
 			return
@@ -166,93 +168,95 @@
 }
 
 // asksAfterARest sends its request about when the node ends a connection that rests.
-func (c *oddClient) asksAfterARest() {
-	if !c.say("PING\r\n") {
+func (c *misbehavingClient) requestAfterIdle() {
+	if !c.send("PING\r\n") {
 		return
 	}
 	c.conn.SetReadDeadline(time.Now().Add(time.Second))
-	if line, err := c.in.ReadString('\n'); err != nil || line != "PONG\r\n" {
+	if line, err := c.reader.ReadString('\n'); err != nil || line != "PONG\r\n" {
 		return
 	}
-	if !c.r.sleep(c.r.between(Duration(1900*time.Millisecond), Duration(2100*time.Millisecond))) {
+	if !c.run.sleep(c.run.randomDuration(Duration(1900*time.Millisecond), Duration(2100*time.Millisecond))) {
 		return
 	}
 	c.conn.SetReadDeadline(time.Now().Add(time.Millisecond))
-	if _, err := c.in.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
+	if _, err := c.reader.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
 		return // it has been sent away already
 	}
-	if c.ask() {
-		c.answer()
+	if c.sendRequest() {
+		c.awaitAnswer()
 	}
 }
 
 // writesAhead does not wait for its answer before it goes on.
-func (c *oddClient) writesAhead() {
-	if !c.ask() {
+func (c *misbehavingClient) writeBeforeAnswer() {
+	if !c.sendRequest() {
 		return
 	}
 	for range 3 {
-		c.r.sleep(5 * time.Millisecond)
-		c.say("ahead\r\n")
+		c.run.sleep(5 * time.Millisecond)
+		c.send("ahead\r\n")
 	}
-	if c.answer() == "UP" {
+	if c.awaitAnswer() == "UP" {
 		c.conn.SetReadDeadline(time.Now().Add(500 * time.Millisecond))
-		c.in.ReadString('\n')
+		c.reader.ReadString('\n')
 	}
 }
 
 // writesInPieces takes a while for its request; its time counts from the last byte.
-func (c *oddClient) writesInPieces() {
-	deadline := time.Duration(c.r.s.Clients.Deadline)
-	line := c.line(deadline)
+func (c *misbehavingClient) requestInPieces() {
+	deadline := time.Duration(c.run.scenario.Clients.Deadline)
+	line := c.requestLine(deadline)
 	for i := 0; i < len(line); i += 7 {
 		if i+7 >= len(line) {
-			c.asks(deadline)
+			c.reportRequest(deadline)
 		}
-		if !c.say(line[i:min(i+7, len(line))]) {
+		if !c.send(line[i:min(i+7, len(line))]) {
 			return
 		}
-		if !c.r.sleep(30 * time.Millisecond) {
+		if !c.run.sleep(30 * time.Millisecond) {
 			return
 		}
 	}
-	c.answer()
+	c.awaitAnswer()
 }
 
 // floods sends much that nobody asked for, and goes.
-func (c *oddClient) floods() {
+func (c *misbehavingClient) flood() {
 	c.conn.SetWriteDeadline(time.Now().Add(time.Second))
 	for range 50 {
-		if !c.say(strings.Repeat("flood\r\n", 600)) {
+		if !c.send(strings.Repeat("flood\r\n", 600)) {
 			return
 		}
 	}
 }
 
 // odds has clients come that misbehave.
-func (r *rig) odds() {
-	if r.s.Clients.MisbehavingPerSecond <= 0 {
+func (r *run) startMisbehavingClients() {
+	if r.scenario.Clients.MisbehavingPerSecond <= 0 {
 		return
 	}
-	for number := 0; r.sleep(r.between(0, Duration(2/r.s.Clients.MisbehavingPerSecond*float64(time.Second)))); number++ {
-		r.work.Go(func() { r.odd(number) })
+	for number := 0; r.sleep(r.randomDuration(0, Duration(2/r.scenario.Clients.MisbehavingPerSecond*float64(time.Second)))); number++ {
+		r.tasks.Go(func() { r.runMisbehavingClient(number) })
 	}
 }
 
 // className is that of the class of an effect in the nodes' settings.
-func className(e checker.Idempotency) string { return [...]string{"c", "k", "u"}[e] }
+func className(idempotency checker.Idempotency) string {
+	return [...]string{"c", "k", "u"}[idempotency]
+}
 
 // keyedWindow is how long servers drop repeats of a keyed request.
-const keyedWindow = 800 * time.Millisecond
+const idempotencyWindow = 800 * time.Millisecond
 
 // effect draws that of a new client's requests.
-func (r *rig) effect() checker.Idempotency {
+func (r *run) drawIdempotency() checker.Idempotency {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	switch p := r.rng.Float64(); {
-	case p < r.s.Clients.NotIdempotentFraction:
+	switch draw := r.rng.Float64(); {
+	case draw < r.scenario.Clients.NotIdempotentFraction:
 		return checker.NotIdempotent
-	case p < r.s.Clients.NotIdempotentFraction+r.s.Clients.KeyedFraction:
+	case draw < r.scenario.Clients.NotIdempotentFraction+r.scenario.Clients.KeyedFraction:
 		return checker.KeyedIdempotent
 	}
 	return checker.Idempotent
--- a/lab/rig/ready.go
+++ b/lab/rig/ready.go
@@ -13,43 +13,43 @@
 )
 
 // readyWithin is the time in which a process is to be ready after its start. The day goes on for as long while one is not.
-const readyWithin = 10 * time.Second
+const readyTimeout = 10 * time.Second
 
 // awaitReady asks a process that an event has started whether it is ready, past all faults, until it is, has ended or the day has.
-func (r *rig) awaitReady(event int, p *process.Process, begun time.Time) {
-	const again = 5 * time.Millisecond
+func (r *run) awaitReady(event int, started *process.Process, startedAt time.Time) {
+	const pollInterval = 5 * time.Millisecond
 	ready := false
-	for going := true; going && !ready; {
+	for waiting := true; waiting && !ready; {
 		select {
-		case <-p.Exited:
-			going = false
+		case <-started.Exited:
+			waiting = false
 			continue
 		default:
 		}
-		if addr, _ := p.Address(); addr != "" {
-			ready = ping(addr)
+		if addr, _ := started.Address(); addr != "" {
+			ready = isReady(addr)
 		}
-		going = ready || r.sleep(again)
+		waiting = ready || r.sleep(pollInterval)
 	}
-	took := time.Since(begun)
-	if event != dayStart {
-		r.ref.ProcessStarted(event, took, ready)
+	duration := time.Since(startedAt)
+	if event != runStart {
+		r.checker.ProcessStarted(event, duration, ready)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.starting--; ready {
-		close(p.Ready)
-		r.ready[event] = append(r.ready[event], took)
+	if r.startingCount--; ready {
+		close(started.Ready)
+		r.readyDurations[event] = append(r.readyDurations[event], duration)
 	} else {
-		r.unready[event]++
+		r.unreadyCounts[event]++
 	}
 }
 
 // allReady waits until no process is on its way to be ready, or all have had the time for it.
-func (r *rig) allReady() {
-	for until := time.Now().Add(readyWithin + 100*time.Millisecond); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
+func (r *run) awaitAllReady() {
+	for deadline := time.Now().Add(readyTimeout + 100*time.Millisecond); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		r.mu.Lock()
-		starting := r.starting
+		starting := r.startingCount
 		r.mu.Unlock()
 		if starting == 0 {
 			return
@@ -58,35 +58,35 @@
 }
 
 // ping tells whether a node says that it is ready.
-func ping(addr string) bool {
-	const patience = time.Second
-	c, err := net.DialTimeout("tcp", addr, patience)
+func isReady(addr string) bool {
+	const timeout = time.Second
+	conn, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
 		return false
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
-	if _, err := io.WriteString(c, "PING\r\n"); err != nil {
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(timeout))
+	if _, err := io.WriteString(conn, "PING\r\n"); err != nil {
 		return false
 	}
-	line, _ := bufio.NewReader(c).ReadString('\n')
+	line, _ := bufio.NewReader(conn).ReadString('\n')
 	return strings.TrimSpace(line) == "PONG"
 }
 
 // readies sums up how long starts took, by event.
-func (r *rig) readies() (all []StartupTimes) {
+func (r *run) startupTimes() (times []StartupTimes) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	events := map[int]bool{}
-	for event := range r.ready {
+	for event := range r.readyDurations {
 		events[event] = true
 	}
-	for event := range r.unready {
+	for event := range r.unreadyCounts {
 		events[event] = true
 	}
 	for _, event := range slices.Sorted(maps.Keys(events)) {
-		took, never := r.ready[event], r.unready[event]
-		all = append(all, StartupTimes{Event: event, Starts: len(took) + never, Median: within(took, 0.5), P90: within(took, 0.9), Max: within(took, 1), NeverReady: never})
+		durations, neverReady := r.readyDurations[event], r.unreadyCounts[event]
+		times = append(times, StartupTimes{Event: event, Starts: len(durations) + neverReady, Median: percentile(durations, 0.5), P90: percentile(durations, 0.9), Max: percentile(durations, 1), NeverReady: neverReady})
 	}
-	return all
+	return times
 }
--- a/lab/rig/result.go
+++ b/lab/rig/result.go
@@ -80,145 +80,145 @@
 	MaxBytesPerSecond float64 `json:"busiest_bytes"` // by one process
 }
 
-func mostInASecond(times []time.Time) (most int) {
+func maxPerSecond(times []time.Time) (highest int) {
 	times = slices.SortedFunc(slices.Values(times), time.Time.Compare) // others may still append to the slice
 	first := 0
-	for i, at := range times {
-		for at.Sub(times[first]) >= time.Second {
+	for i, t := range times {
+		for t.Sub(times[first]) >= time.Second {
 			first++
 		}
-		most = max(most, i+1-first)
+		highest = max(highest, i+1-first)
 	}
-	return most
+	return highest
 }
 
 // lists sums up waits for the list, and those that have not ended.
-func (r *rig) lists(waits []time.Duration, since func(n *node) time.Time) ListDelays {
+func (r *run) listDelays(waits []time.Duration, since func(n *node) time.Time) ListDelays {
 	r.mu.Lock() // the list service still serves
 	defer r.mu.Unlock()
 	waits = slices.Clone(waits)
-	l := ListDelays{Starts: len(waits)}
+	delays := ListDelays{Starts: len(waits)}
 	for _, n := range r.nodes {
 		if !since(n).IsZero() {
-			l.Starts, l.Missing = l.Starts+1, l.Missing+1
+			delays.Starts, delays.Missing = delays.Starts+1, delays.Missing+1
 		}
 	}
-	l.Median, l.P99, l.Max = within(waits, 0.5), within(waits, 0.99), within(waits, 1)
-	return l
+	delays.Median, delays.P99, delays.Max = percentile(waits, 0.5), percentile(waits, 0.99), percentile(waits, 1)
+	return delays
 }
 
 // within gives the seconds within which a part of them was over; 0 where there are none.
-func within(waits []time.Duration, part float64) float64 {
-	if len(waits) == 0 {
+func percentile(durations []time.Duration, fraction float64) float64 {
+	if len(durations) == 0 {
 		return 0
 	}
-	slices.Sort(waits)
-	return math.Round(waits[max(int(math.Ceil(part*float64(len(waits)))), 1)-1].Seconds()*1000) / 1000
+	slices.Sort(durations)
+	return math.Round(durations[max(int(math.Ceil(fraction*float64(len(durations)))), 1)-1].Seconds()*1000) / 1000
 }
 
-func (r *rig) finish() *Result {
+func (r *run) collectResult() *Result {
 	for _, n := range r.nodes { // counters are told on request
-		if p := r.process(n); p != nil {
-			r.disturb(n, false)
+		if p := r.currentProcess(n); p != nil {
+			r.setDisturbed(n, false)
 			p.Signal(syscall.SIGCONT)
 			p.Signal(syscall.SIGUSR1)
 		}
-		if n.second != nil {
-			n.second.Signal(syscall.SIGUSR1)
+		if n.duplicate != nil {
+			n.duplicate.Signal(syscall.SIGUSR1)
 		}
 	}
 	for _, n := range r.nodes {
-		for _, p := range []*process.Process{r.process(n), n.second} {
-			until := time.Now().Add(3 * time.Second)
-			for p != nil && time.Now().Before(until) && !p.CountersSettled() {
+		for _, p := range []*process.Process{r.currentProcess(n), n.duplicate} {
+			deadline := time.Now().Add(3 * time.Second)
+			for p != nil && time.Now().Before(deadline) && !p.CountersSettled() {
 				time.Sleep(5 * time.Millisecond)
 			}
 		}
 	}
-	for _, p := range r.logs {
-		for k, v := range p.Counters() {
-			r.sum[k] += v
+	for _, p := range r.processes {
+		for name, value := range p.Counters() {
+			r.counters[name] += value
 		}
 	}
-	delete(r.sum, "ts")
+	delete(r.counters, "ts")
 	r.mu.Lock() // the stand-ins still serve, and count what they do
-	totals, effects, peaks := maps.Clone(r.totals), slices.Clone(r.effects), maps.Clone(r.peaks)
-	waits, backs := r.waits, r.backs
+	totals, effects, peaks := maps.Clone(r.totals), slices.Clone(r.effects), maps.Clone(r.peakTimes)
+	listWaits, recoveryWaits := r.listWaits, r.recoveryWaits
 	r.mu.Unlock()
-	res := &Result{Scenario: r.s.Name, Seed: r.o.Seed, Nodes: r.s.Nodes, Totals: totals, EventEffects: effects, Counters: r.sum}
-	res.Violations, res.History = r.ref.Check(time.Now())
-	for _, p := range r.logs {
-		if told := p.Crash(); told != "" {
-			res.Violations.Crashed++
-			res.History = append(res.History, fmt.Sprintf("node %d crashed:\n%s", p.Node, told))
+	result := &Result{Scenario: r.scenario.Name, Seed: r.options.Seed, Nodes: r.scenario.Nodes, Totals: totals, EventEffects: effects, Counters: r.counters}
+	result.Violations, result.History = r.checker.Check(time.Now())
+	for _, p := range r.processes {
+		if crash := p.Crash(); crash != "" {
+			result.Violations.Crashed++
+			result.History = append(result.History, fmt.Sprintf("node %d crashed:\n%s", p.Node, crash))
 		}
 	}
-	for name, n := range r.sum { // what the program itself held back
-		if strings.HasPrefix(name, "rule_") && n > 0 {
-			res.Violations.Asserted += int(n)
-			res.History = append(res.History, fmt.Sprintf("%s: %.0f by the nodes' own count", name, n))
+	for name, count := range r.counters { // what the program itself held back
+		if strings.HasPrefix(name, "rule_") && count > 0 {
+			result.Violations.Asserted += int(count)
+			result.History = append(result.History, fmt.Sprintf("%s: %.0f by the nodes' own count", name, count))
 		}
 	}
-	res.Totals["answered in time"], res.Totals["excused"] = r.ref.Answered, r.ref.Excused
-	res.Totals["attempts at cold servers"], res.Totals["further attempts"] = r.ref.SlowStartSends, r.ref.Retries
-	res.SlowStartUtilization = math.Round(r.ref.SlowStartUtilization*1000) / 1000
-	res.ListDelays, res.StartupTimes, res.Peaks = r.lists(waits, func(n *node) time.Time { return n.began }), r.readies(), map[string]int{}
-	res.ListRecovery = r.lists(backs, func(n *node) time.Time { return n.back })
-	for what, times := range peaks {
-		kind, _, one := strings.Cut(what, " s-")
-		if one {
+	result.Totals["answered in time"], result.Totals["excused"] = r.checker.Answered, r.checker.Excused
+	result.Totals["attempts at cold servers"], result.Totals["further attempts"] = r.checker.SlowStartSends, r.checker.Retries
+	result.SlowStartUtilization = math.Round(r.checker.SlowStartUtilization*1000) / 1000
+	result.ListDelays, result.StartupTimes, result.Peaks = r.listDelays(listWaits, func(n *node) time.Time { return n.listPendingSince }), r.startupTimes(), map[string]int{}
+	result.ListRecovery = r.listDelays(recoveryWaits, func(n *node) time.Time { return n.recoveryPendingSince })
+	for name, times := range peaks {
+		kind, _, isPerServer := strings.Cut(name, " s-")
+		if isPerServer {
 			kind += " at one server"
 		}
-		res.Peaks[kind] = max(res.Peaks[kind], mostInASecond(times))
+		result.Peaks[kind] = max(result.Peaks[kind], maxPerSecond(times))
 	}
-	if r.s.Quotas.OpenPerCustomer > 0 {
-		res.Totals["most open of a customer"] = r.ref.MaxOpen
+	if r.scenario.Quotas.OpenPerCustomer > 0 {
+		result.Totals["most open of a customer"] = r.checker.MaxOpen
 	}
-	res.MaxLatenessMS = float64(r.late.Microseconds()) / 1000
-	if r.failed != "" {
-		res.InvalidReason = r.failed
-	} else if r.ref.Foreign > 0 { // guards against what two rigs side by side do to each other: ports that are free again are taken anew
-		res.InvalidReason = fmt.Sprintf("%d requests of another rig came", r.ref.Foreign)
-	} else if r.late > lateMost {
-		res.InvalidReason = fmt.Sprintf("the rig was %v late", r.late.Round(time.Millisecond))
+	result.MaxLatenessMS = float64(r.maxLateness.Microseconds()) / 1000
+	if r.failure != "" {
+		result.InvalidReason = r.failure
+	} else if r.checker.Foreign > 0 { // guards against what two rigs side by side do to each other: ports that are free again are taken anew
+		result.InvalidReason = fmt.Sprintf("%d requests of another rig came", r.checker.Foreign)
+	} else if r.maxLateness > latenessLimit {
+		result.InvalidReason = fmt.Sprintf("the rig was %v late", r.maxLateness.Round(time.Millisecond))
 	}
-	res.Seconds = r.seconds
+	result.Seconds = r.seconds
 	served, wanted := 0.0, 0.0
 	for _, s := range r.seconds {
 		served, wanted = served+s.Served, wanted+s.Served+s.Overloaded+s.Waiting
 	}
 	if wanted > 0 {
-		res.Served = math.Round(served/wanted*1e4) / 1e4
+		result.Served = math.Round(served/wanted*1e4) / 1e4
 	}
-	seconds := time.Duration(r.s.Length).Seconds()
+	seconds := time.Duration(r.scenario.Length).Seconds()
 	for i := range r.nodes {
-		w, b := r.sent(i)
-		res.Datagrams.PerSecond, res.Datagrams.BytesPerSecond = res.Datagrams.PerSecond+float64(w)/seconds, res.Datagrams.BytesPerSecond+float64(b)/seconds
-		res.Datagrams.MaxPerSecond = max(res.Datagrams.MaxPerSecond, float64(w)/seconds)
-		res.Datagrams.MaxBytesPerSecond = max(res.Datagrams.MaxBytesPerSecond, float64(b)/seconds)
+		datagrams, bytes := r.sentBy(i)
+		result.Datagrams.PerSecond, result.Datagrams.BytesPerSecond = result.Datagrams.PerSecond+float64(datagrams)/seconds, result.Datagrams.BytesPerSecond+float64(bytes)/seconds
+		result.Datagrams.MaxPerSecond = max(result.Datagrams.MaxPerSecond, float64(datagrams)/seconds)
+		result.Datagrams.MaxBytesPerSecond = max(result.Datagrams.MaxBytesPerSecond, float64(bytes)/seconds)
 	}
-	for _, line := range slices.Clone(res.History)[:min(len(res.History), 3)] {
+	for _, line := range slices.Clone(result.History)[:min(len(result.History), 3)] {
 		id, _, _ := strings.Cut(strings.TrimSpace(line[min(13, len(line)):]), ",")
-		for _, p := range r.logs {
-			if text := p.LogExcerpt(id); strings.Contains(text, id) {
-				res.History = append(res.History, text)
+		for _, p := range r.processes {
+			if excerpt := p.LogExcerpt(id); strings.Contains(excerpt, id) {
+				result.History = append(result.History, excerpt)
 			}
 		}
 	}
-	return res
+	return result
 }
 
 // sent gives the words and bytes that a process sent to others.
-func (r *rig) sent(i int) (words, bytes int64) {
-	if r.s.ControlMachines == 0 {
-		return r.words.SentBy(i)
+func (r *run) sentBy(index int) (datagrams, bytes int64) {
+	if r.scenario.ControlMachines == 0 {
+		return r.peerNetwork.SentBy(index)
 	}
-	words, bytes = r.below.SentBy(i)
-	if i >= r.s.Nodes {
-		w, b := r.words.SentBy(i - r.s.Nodes)
-		words, bytes = words+w, bytes+b
+	datagrams, bytes = r.childNetwork.SentBy(index)
+	if index >= r.scenario.Nodes {
+		peerDatagrams, peerBytes := r.peerNetwork.SentBy(index - r.scenario.Nodes)
+		datagrams, bytes = datagrams+peerDatagrams, bytes+peerBytes
 	}
-	return words, bytes
+	return datagrams, bytes
 }
 
 // TotalNames gives the totals in order.
--- a/lab/rig/rig.go
+++ b/lab/rig/rig.go
@@ -21,128 +21,128 @@
 }
 
 // lateMost is how late the rig may be before its run says nothing: the checker has as much slack.
-const lateMost = 100 * time.Millisecond
+const latenessLimit = 100 * time.Millisecond
 
-var modes = map[string]emulator.Mode{"drop": emulator.Drop, "stall": emulator.Stall, "reset": emulator.Reset, "cut": emulator.Cut}
+var linkModes = map[string]emulator.Mode{"drop": emulator.Drop, "stall": emulator.Stall, "reset": emulator.Reset, "cut": emulator.Cut}
 
-type rig struct {
-	s       *Scenario
-	o       Options
-	starter *process.Starter
-	library *shim.Library // nil where no process runs under a shim
-	list    *emulator.ListService
-	other   string                    // another address of the list service
-	words   *emulator.DatagramNetwork // among the nodes, or among the control machines
-	below   *emulator.DatagramNetwork // nodes and control machines, by process number; nil without control machines
-	ref     *checker.Checker
-	begun   time.Time
-	over    chan struct{} // closed when the day is
-	links   map[linkKey]*emulator.Direction
-	work    sync.WaitGroup // clients and events
+type run struct {
+	scenario          *Scenario
+	options           Options
+	starter           *process.Starter
+	shimLibrary       *shim.Library // nil where no process runs under a shim
+	listService       *emulator.ListService
+	alternateListAddr string                    // another address of the list service
+	peerNetwork       *emulator.DatagramNetwork // among the nodes, or among the control machines
+	childNetwork      *emulator.DatagramNetwork // nodes and control machines, by process number; nil without control machines
+	checker           *checker.Checker
+	startedAt         time.Time
+	ended             chan struct{} // closed when the day is
+	links             map[linkKey]*emulator.Direction
+	tasks             sync.WaitGroup // clients and events
 
-	mu       sync.Mutex
-	rng      *rand.Rand
-	nodes    []*node
-	servers  []*emulator.Server // all that there were
-	named    int                // of them
-	clients  []*client
-	totals   map[string]int
-	effects  []int
-	failed   string
-	late     time.Duration
-	seconds  []Second
-	waits    []time.Duration         // of starts, for the list
-	backs    []time.Duration         // of nodes, for the list service that is back
-	listUp   time.Time               // since when the list service can be reached; the zero time while it is down
-	ready    map[int][]time.Duration // by event, of starts
-	unready  map[int]int             // by event: starts that never were
-	starting int                     // processes that are on their way to be ready
-	peaks    map[string][]time.Time  // what is counted by the second
-	sum      map[string]float64
-	logs     []*process.Process
+	mu             sync.Mutex
+	rng            *rand.Rand
+	nodes          []*node
+	servers        []*emulator.Server // all that there were
+	serverCount    int                // of them
+	clients        []*client
+	totals         map[string]int
+	effects        []int
+	failure        string
+	maxLateness    time.Duration
+	seconds        []Second
+	listWaits      []time.Duration         // of starts, for the list
+	recoveryWaits  []time.Duration         // of nodes, for the list service that is back
+	listUpSince    time.Time               // since when the list service can be reached; the zero time while it is down
+	readyDurations map[int][]time.Duration // by event, of starts
+	unreadyCounts  map[int]int             // by event: starts that never were
+	startingCount  int                     // processes that are on their way to be ready
+	peakTimes      map[string][]time.Time  // what is counted by the second
+	counters       map[string]float64
+	processes      []*process.Process
 }
 
 type linkKey struct {
-	kind string
-	node int
-	to   bool // the node
+	kind   string
+	node   int
+	toNode bool // the node
 }
 
 // Run plays a scenario.
-func Run(s *Scenario, o Options) (*Result, error) {
-	if o.Binary == "" {
-		self, err := os.Executable()
+func Run(scenario *Scenario, options Options) (*Result, error) {
+	if options.Binary == "" {
+		executable, err := os.Executable()
 		if err != nil {
 			return nil, err
 		}
-		o.Binary = self
+		options.Binary = executable
 	}
-	if err := process.RaiseDescriptorLimit((s.Nodes+s.ControlMachines)*(8+s.Servers) + 4*s.Clients.Initial + 500); err != nil {
+	if err := process.RaiseDescriptorLimit((scenario.Nodes+scenario.ControlMachines)*(8+scenario.Servers) + 4*scenario.Clients.Initial + 500); err != nil {
 		return nil, err
 	}
-	r := &rig{s: s, o: o, starter: process.NewStarter(), over: make(chan struct{}), links: map[linkKey]*emulator.Direction{},
-		ready: map[int][]time.Duration{}, unready: map[int]int{},
-		rng: rand.New(rand.NewPCG(o.Seed, 1)), totals: map[string]int{}, peaks: map[string][]time.Time{}, effects: make([]int, len(s.Events)), sum: map[string]float64{}}
+	r := &run{scenario: scenario, options: options, starter: process.NewStarter(), ended: make(chan struct{}), links: map[linkKey]*emulator.Direction{},
+		readyDurations: map[int][]time.Duration{}, unreadyCounts: map[int]int{},
+		rng: rand.New(rand.NewPCG(options.Seed, 1)), totals: map[string]int{}, peakTimes: map[string][]time.Time{}, effects: make([]int, len(scenario.Events)), counters: map[string]float64{}}
 	defer r.starter.Close()
-	if s.UseShim {
-		library, err := shim.Build()
+	if scenario.UseShim {
+		shimLibrary, err := shim.Build()
 		if err != nil {
 			return nil, err
 		}
-		defer library.Remove()
-		r.library = library
+		defer shimLibrary.Remove()
+		r.shimLibrary = shimLibrary
 	}
-	v := s.Server
-	connections := r.connections()
-	r.ref = checker.New(checker.Config{
-		AnswerGrace: 70 * time.Millisecond, DrainGrace: time.Duration(v.DrainGrace), Slack: 100 * time.Millisecond,
-		DepartureGrace: 100 * time.Millisecond, IdempotencyWindow: keyedWindow, ReadyTimeout: readyWithin,
-		RateLimits: s.Quotas.rates(), SlowStartWindow: time.Duration(v.OverloadWindow),
-		SlowStartDuration: time.Duration(v.SlowStartDuration),
+	server := scenario.Server
+	expectedConnections := r.expectedConnections()
+	r.checker = checker.New(checker.Config{
+		AnswerGrace: 70 * time.Millisecond, DrainGrace: time.Duration(server.DrainGrace), Slack: 100 * time.Millisecond,
+		DepartureGrace: 100 * time.Millisecond, IdempotencyWindow: idempotencyWindow, ReadyTimeout: readyTimeout,
+		RateLimits: scenario.Quotas.limits(), SlowStartWindow: time.Duration(server.OverloadWindow),
+		SlowStartDuration: time.Duration(server.SlowStartDuration),
 		SlowStartLimit: func(age time.Duration) float64 { // by the mean share of the window
-			mean := max(age.Seconds()-time.Duration(v.OverloadWindow).Seconds()/2, 0) / time.Duration(v.SlowStartDuration).Seconds()
-			share := min(v.SlowStartMinCapacity+(1-v.SlowStartMinCapacity)*mean, 1)
-			return v.OverloadFactor * time.Duration(v.OverloadWindow).Seconds() * share * connections /
-				(float64(s.Servers) * time.Duration(v.SlowStartDuration).Seconds())
+			meanShare := max(age.Seconds()-time.Duration(server.OverloadWindow).Seconds()/2, 0) / time.Duration(server.SlowStartDuration).Seconds()
+			capacityFraction := min(server.SlowStartMinCapacity+(1-server.SlowStartMinCapacity)*meanShare, 1)
+			return server.OverloadFactor * time.Duration(server.OverloadWindow).Seconds() * capacityFraction * expectedConnections /
+				(float64(scenario.Servers) * time.Duration(server.SlowStartDuration).Seconds())
 		},
 	})
 	var err error
-	if s.ControlMachines > 0 {
-		if r.below, err = emulator.NewDatagramNetwork(s.Nodes+s.ControlMachines, o.Seed^1<<32); err != nil {
+	if scenario.ControlMachines > 0 {
+		if r.childNetwork, err = emulator.NewDatagramNetwork(scenario.Nodes+scenario.ControlMachines, options.Seed^1<<32); err != nil {
 			return nil, err
 		}
-		defer r.below.Close()
+		defer r.childNetwork.Close()
 	}
-	if r.words, err = emulator.NewDatagramNetwork(s.group(), o.Seed); err != nil {
+	if r.peerNetwork, err = emulator.NewDatagramNetwork(scenario.peerCount(), options.Seed); err != nil {
 		return nil, err
 	}
-	defer r.words.Close()
-	r.list = emulator.NewListService(emulator.ListConfig{
-		CallsPerSecond: s.ListService.CallsPerSecond, QueueTimeout: time.Duration(s.ListService.CallTimeout),
-		PropagationDelay: time.Duration(s.ListService.PropagationDelay),
-	}, r.told, r.called)
-	defer r.list.Close()
-	if err := r.list.Open(r.ways("list")); err != nil {
+	defer r.peerNetwork.Close()
+	r.listService = emulator.NewListService(emulator.ListConfig{
+		CallsPerSecond: scenario.ListService.CallsPerSecond, QueueTimeout: time.Duration(scenario.ListService.CallTimeout),
+		PropagationDelay: time.Duration(scenario.ListService.PropagationDelay),
+	}, r.onNotification, r.onListCall)
+	defer r.listService.Close()
+	if err := r.listService.Open(r.nodeLinks("list")); err != nil {
 		return nil, err
 	}
-	if r.other, err = r.list.OpenAddress(r.ways("list")); err != nil {
+	if r.alternateListAddr, err = r.listService.OpenAddress(r.nodeLinks("list")); err != nil {
 		return nil, err
 	}
 	defer r.stopServers()
-	for range s.Servers {
+	for range scenario.Servers {
 		if err := r.newServer(time.Time{}); err != nil {
 			return nil, err
 		}
 	}
 	// Servers are listed after the propagation delay.
-	for version := int64(0); version < int64(s.Servers); version, _ = r.list.Snapshot(0) {
+	for version := int64(0); version < int64(scenario.Servers); version, _ = r.listService.Snapshot(0) {
 		time.Sleep(5 * time.Millisecond)
 	}
 	defer r.killAll()
-	var ready sync.WaitGroup
-	for i := range s.Nodes + s.ControlMachines {
+	var starts sync.WaitGroup
+	for i := range scenario.Nodes + scenario.ControlMachines {
 		n := &node{index: i}
-		if r.nodes = append(r.nodes, n); s.InheritSocket {
+		if r.nodes = append(r.nodes, n); scenario.InheritSocket {
 			defer n.close()
 			if err := n.listen(); err != nil {
 				return nil, err
@@ -150,141 +150,145 @@
 		}
 	}
 	for _, n := range r.nodes {
-		ready.Go(func() { r.startNode(dayStart, n, 0, false) })
+		starts.Go(func() { r.startNode(runStart, n, 0, false) })
 	}
-	ready.Wait()
-	r.begun = time.Now()
+	starts.Wait()
+	r.startedAt = time.Now()
 	r.mu.Lock()
-	r.listUp = r.begun
+	r.listUpSince = r.startedAt
 	r.mu.Unlock()
-	go r.watchClock()
-	go r.measure()
-	r.work.Go(r.arrivals)
-	r.work.Go(r.odds)
-	for i, e := range s.Events {
-		r.work.Go(func() {
-			if r.sleep(time.Until(r.begun.Add(time.Duration(e.At)))) {
-				r.trouble(i, e)
+	go r.measureLateness()
+	go r.sampleClients()
+	r.tasks.Go(r.startClients)
+	r.tasks.Go(r.startMisbehavingClients)
+	for i, e := range scenario.Events {
+		r.tasks.Go(func() {
+			if r.sleep(time.Until(r.startedAt.Add(time.Duration(e.At)))) {
+				r.inject(i, e)
 			}
 		})
 	}
-	time.Sleep(time.Until(r.begun.Add(time.Duration(s.Length))))
-	r.allReady()
-	close(r.over)
+	time.Sleep(time.Until(r.startedAt.Add(time.Duration(scenario.Length))))
+	r.awaitAllReady()
+	close(r.ended)
 	done := make(chan struct{})
-	go func() { r.work.Wait(); close(done) }()
+	go func() { r.tasks.Wait(); close(done) }()
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second): // guards against a rig that never ends
 		r.fail("clients or events did not end within 20 s")
 	}
-	return r.finish(), nil
+	return r.collectResult(), nil
 }
 
 // connections are those that all servers are to bear.
-func (r *rig) connections() float64 { return 0.85 * float64(r.s.Server.Capacity*r.s.Servers) }
+func (r *run) expectedConnections() float64 {
+	return 0.85 * float64(r.scenario.Server.Capacity*r.scenario.Servers)
+}
 
 // way is one direction of a node's links of a kind.
-func (r *rig) way(kind string, node int, to bool) *emulator.Direction {
+func (r *run) direction(kind string, node int, toNode bool) *emulator.Direction {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	k := linkKey{kind, node, to}
-	if r.links[k] == nil {
-		r.links[k] = &emulator.Direction{}
+	key := linkKey{kind, node, toNode}
+	if r.links[key] == nil {
+		r.links[key] = &emulator.Direction{}
 	}
-	return r.links[k]
+	return r.links[key]
 }
 
 // ways are both directions of any node's links of a kind, by what the nodes say and hear there.
-func (r *rig) ways(kind string) emulator.Links {
-	return func(node int) (in, out *emulator.Direction) { return r.way(kind, node, false), r.way(kind, node, true) }
+func (r *run) nodeLinks(kind string) emulator.Links {
+	return func(node int) (in, out *emulator.Direction) {
+		return r.direction(kind, node, false), r.direction(kind, node, true)
+	}
 }
 
-func (r *rig) count(what string) {
+func (r *run) count(name string) {
 	r.mu.Lock()
-	r.totals[what]++
+	r.totals[name]++
 	r.mu.Unlock()
 }
 
 // peak notes something of which the most in any second is wanted; of what has a second word the most at any one of those.
-func (r *rig) peak(what string, at time.Time) {
+func (r *run) recordPeak(name string, at time.Time) {
 	r.mu.Lock()
-	r.peaks[what] = append(r.peaks[what], at)
+	r.peakTimes[name] = append(r.peakTimes[name], at)
 	r.mu.Unlock()
 }
 
-func (r *rig) fail(format string, args ...any) {
+func (r *run) fail(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.failed == "" {
-		r.failed = fmt.Sprintf(format, args...)
+	if r.failure == "" {
+		r.failure = fmt.Sprintf(format, args...)
 	}
 }
 
 // sleep waits, and tells whether the day still goes on.
-func (r *rig) sleep(d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
+func (r *run) sleep(d time.Duration) bool {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return true
-	case <-r.over:
+	case <-r.ended:
 		return false
 	}
 }
 
-func (r *rig) draw(n int) int {
+func (r *run) randomIndex(n int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rng.IntN(n)
 }
 
-func (r *rig) between(a, b Duration) time.Duration {
+func (r *run) randomDuration(low, high Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return time.Duration(a) + time.Duration(r.rng.Float64()*float64(b-a))
+	return time.Duration(low) + time.Duration(r.rng.Float64()*float64(high-low))
 }
 
 // The list service and the servers.
 
-func (r *rig) newServer(started time.Time) error {
-	kind := emulator.ServerConfig{
-		Capacity: r.s.Server.Capacity, InitialFraction: r.s.Server.SlowStartMinCapacity, WarmUp: time.Duration(r.s.Server.SlowStartDuration),
+func (r *run) newServer(started time.Time) error {
+	config := emulator.ServerConfig{
+		Capacity: r.scenario.Server.Capacity, InitialFraction: r.scenario.Server.SlowStartMinCapacity, WarmUp: time.Duration(r.scenario.Server.SlowStartDuration),
 	}
 	r.mu.Lock()
-	r.named++ // two may start at once
-	id := fmt.Sprintf("s-%d", r.named)
+	r.serverCount++ // two may start at once
+	id := fmt.Sprintf("s-%d", r.serverCount)
 	r.mu.Unlock()
-	s := emulator.NewServer(id, kind, started, r.received)
-	if err := s.Open(r.ways("servers")); err != nil {
+	server := emulator.NewServer(id, config, started, r.onServerEvent)
+	if err := server.Open(r.nodeLinks("servers")); err != nil {
 		return err
 	}
 	r.mu.Lock()
-	r.servers = append(r.servers, s)
+	r.servers = append(r.servers, server)
 	r.mu.Unlock()
-	r.list.UpdateServer(s, "up")
+	r.listService.UpdateServer(server, "up")
 	return nil
 }
 
 // leave makes known that a server drains or is gone. Where it is to count as told whether or not it reaches a node, it does
 // so for all nodes once the service has had it and could be reached for as long.
-func (r *rig) leave(s *emulator.Server, state string) {
-	r.list.UpdateServer(s, state)
-	told := time.Duration(r.s.ListService.NotificationGrace)
-	if told == 0 {
+func (r *run) reportLeaving(server *emulator.Server, state string) {
+	r.listService.UpdateServer(server, state)
+	grace := time.Duration(r.scenario.ListService.NotificationGrace)
+	if grace == 0 {
 		return
 	}
-	known := time.Now().Add(time.Duration(r.s.ListService.PropagationDelay))
-	r.work.Go(func() {
+	listedAt := time.Now().Add(time.Duration(r.scenario.ListService.PropagationDelay))
+	r.tasks.Go(func() {
 		for {
 			r.mu.Lock()
-			up := r.listUp
+			upSince := r.listUpSince
 			r.mu.Unlock()
-			from := known
-			if up.After(from) {
-				from = up
+			since := listedAt
+			if upSince.After(since) {
+				since = upSince
 			}
-			if wait := time.Until(from.Add(told)); up.IsZero() {
+			if wait := time.Until(since.Add(grace)); upSince.IsZero() {
 				if !r.sleep(10 * time.Millisecond) {
 					return
 				}
@@ -294,7 +298,7 @@
 				}
 			} else {
 				for _, n := range r.nodes {
-					r.ref.EndpointReported(n.index, s.ID, true, time.Time{}, from.Add(told))
+					r.checker.EndpointReported(n.index, server.ID, true, time.Time{}, since.Add(grace))
 				}
 				return
 			}
@@ -303,124 +307,124 @@
 }
 
 // listDown has the list service go down, or come back.
-func (r *rig) listDown(down bool) {
-	r.list.SetDown(down)
+func (r *run) setListDown(down bool) {
+	r.listService.SetDown(down)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.listUp = time.Now(); down {
-		r.listUp = time.Time{}
+	if r.listUpSince = time.Now(); down {
+		r.listUpSince = time.Time{}
 		return
 	}
 	for _, n := range r.nodes {
-		n.back = r.listUp
+		n.recoveryPendingSince = r.listUpSince
 	}
 }
 
-func (r *rig) stopServers() {
+func (r *run) stopServers() {
 	for _, s := range r.servers {
 		s.Stop()
 	}
 }
 
-func (r *rig) told(t emulator.Notification) {
+func (r *run) onNotification(notification emulator.Notification) {
 	r.mu.Lock()
-	if n := r.nodes[t.Node]; !n.began.IsZero() {
-		r.waits = append(r.waits, t.At.Sub(n.began))
-		n.began = time.Time{}
+	if n := r.nodes[notification.Node]; !n.listPendingSince.IsZero() {
+		r.listWaits = append(r.listWaits, notification.At.Sub(n.listPendingSince))
+		n.listPendingSince = time.Time{}
 	}
-	if n := r.nodes[t.Node]; !n.back.IsZero() {
-		r.backs = append(r.backs, t.At.Sub(n.back))
-		n.back = time.Time{}
+	if n := r.nodes[notification.Node]; !n.recoveryPendingSince.IsZero() {
+		r.recoveryWaits = append(r.recoveryWaits, notification.At.Sub(n.recoveryPendingSince))
+		n.recoveryPendingSince = time.Time{}
 	}
 	r.mu.Unlock()
-	for _, e := range t.Endpoints {
+	for _, e := range notification.Endpoints {
 		started := time.Time{}
 		if e.Started > 0 {
 			started = time.UnixMilli(e.Started)
 		}
-		r.ref.EndpointReported(t.Node, e.ID, e.State != "up", started, t.At)
+		r.checker.EndpointReported(notification.Node, e.ID, e.State != "up", started, notification.At)
 	}
 }
 
-func (r *rig) called(c emulator.Call) {
+func (r *run) onListCall(call emulator.Call) {
 	r.count("list calls")
-	r.peak("list calls", c.At)
-	r.ref.RateLimitedEvent("list_calls_per_s", "", c.At, c.At)
-	if c.Failed {
+	r.recordPeak("list calls", call.At)
+	r.checker.RateLimitedEvent("list_calls_per_s", "", call.At, call.At)
+	if call.Failed {
 		r.count("list calls failed")
 	}
 }
 
-func (r *rig) received(x emulator.Event) {
-	switch x.Kind {
+func (r *run) onServerEvent(event emulator.Event) {
+	switch event.Kind {
 	case emulator.AttemptReceived:
 		r.count("attempts")
-		r.ref.RateLimitedEvent("connects_per_s", x.Server.ID, x.Entered, x.Entered)
-		r.ref.AttemptReceived(x.Node, x.Server.ID, x.Request, x.Entered, x.Server.Started)
-		if !x.Server.Started.IsZero() {
+		r.checker.RateLimitedEvent("connects_per_s", event.Server.ID, event.Entered, event.Entered)
+		r.checker.AttemptReceived(event.Node, event.Server.ID, event.Request, event.Entered, event.Server.Started)
+		if !event.Server.Started.IsZero() {
 			r.count("attempts at servers that started")
 		}
 	case emulator.AttemptRejected:
-		r.ref.AttemptRejected(x.Server.ID, x.Request)
+		r.checker.AttemptRejected(event.Server.ID, event.Request)
 	case emulator.AttemptEnded:
-		r.ref.AttemptEnded(x.Server.ID, x.Request)
+		r.checker.AttemptEnded(event.Server.ID, event.Request)
 	case emulator.HealthChecked:
 		r.count("probes")
-		r.peak("probes "+x.Server.ID, x.At)
-		r.ref.RateLimitedEvent("probes_per_s", x.Server.ID, x.Entered, x.Entered)
+		r.recordPeak("probes "+event.Server.ID, event.At)
+		r.checker.RateLimitedEvent("probes_per_s", event.Server.ID, event.Entered, event.Entered)
 	case emulator.ConnectionAccepted:
 		r.count("connections at servers")
-		r.peak("connections "+x.Server.ID, x.At)
+		r.recordPeak("connections "+event.Server.ID, event.At)
 	}
 }
 
 // watchClock notes how late the rig itself is.
-func (r *rig) watchClock() {
-	const every = 20 * time.Millisecond
+func (r *run) measureLateness() {
+	const interval = 20 * time.Millisecond
 	for {
-		begun := time.Now()
-		if !r.sleep(every) {
+		startedAt := time.Now()
+		if !r.sleep(interval) {
 			return
 		}
 		r.mu.Lock()
-		r.late = max(r.late, time.Since(begun)-every)
+		r.maxLateness = max(r.maxLateness, time.Since(startedAt)-interval)
 		r.mu.Unlock()
 	}
 }
 
 // measure looks ten times a second where the clients are, and which servers are asked for more than they can do.
-func (r *rig) measure() {
-	const looks = 10
-	for r.sleep(time.Second / looks) {
+func (r *run) sampleClients() {
+	const samplesPerSecond = 10
+	for r.sleep(time.Second / samplesPerSecond) {
 		loads := map[string]float64{}
 		r.mu.Lock()
-		all, servers := slices.Clone(r.clients), slices.Clone(r.servers)
+		clients, servers := slices.Clone(r.clients), slices.Clone(r.servers)
 		r.mu.Unlock()
 		for _, s := range servers {
 			if !s.Leaving() {
 				loads[s.ID] = s.Utilization()
 			}
 		}
-		var now Second
-		for _, c := range all {
-			switch stands, wants := c.state(); {
-			case !wants:
-			case !stands:
-				now.Waiting += 1.0 / looks
-			case loads[r.ref.LastServer(c.request())] <= 1:
-				now.Served += 1.0 / looks
+		var sample Second
+		for _, c := range clients {
+			switch connected, wanted := c.state(); {
+			case !wanted:
+			case !connected:
+				sample.Waiting += 1.0 / samplesPerSecond
+			case loads[r.checker.LastServer(c.lastRequest())] <= 1:
+				sample.Served += 1.0 / samplesPerSecond
 			default:
-				now.Overloaded += 1.0 / looks
+				sample.Overloaded += 1.0 / samplesPerSecond
 			}
 		}
 		r.mu.Lock()
-		at := int(time.Since(r.begun) / time.Second)
-		for len(r.seconds) <= at {
+		second := int(time.Since(r.startedAt) / time.Second)
+		for len(r.seconds) <= second {
 			r.seconds = append(r.seconds, Second{})
 		}
-		s := &r.seconds[at]
-		s.Served, s.Overloaded, s.Waiting, s.Utilization = s.Served+now.Served, s.Overloaded+now.Overloaded, s.Waiting+now.Waiting, loads
-		r.clients = slices.DeleteFunc(r.clients, func(c *client) bool { return c.done() })
+		total := &r.seconds[second]
+		total.Served, total.Overloaded, total.Waiting, total.Utilization = total.Served+sample.Served, total.Overloaded+sample.Overloaded, total.Waiting+sample.Waiting, loads
+		r.clients = slices.DeleteFunc(r.clients, func(c *client) bool { return c.isFinished() })
 		r.mu.Unlock()
 	}
 }
--- a/lab/rig/rig_test.go
+++ b/lab/rig/rig_test.go
@@ -102,7 +102,7 @@
 }
 
 func TestFaultyScenarios(t *testing.T) {
-	good, _ := kept.ReadFile("scenarios/calm.toml")
+	good, _ := embedded.ReadFile("scenarios/calm.toml")
 	for _, c := range []struct{ text, want string }{
 		{string(good) + "\nnodse = 3\n", "no such key"},
 		{strings.Replace(string(good), `length = "6s"`, `length = "soon"`, 1), "line 3"},
--- a/lab/rig/scenario.go
+++ b/lab/rig/scenario.go
@@ -103,7 +103,7 @@
 }
 
 // rates are the bounds by their keys.
-func (b Quotas) rates() map[string]int {
+func (b Quotas) limits() map[string]int {
 	return map[string]int{"retries_per_s": b.RetriesPerSecond, "list_calls_per_s": b.ListCallsPerSecond, "probes_per_s": b.HealthChecksPerSecond, "connects_per_s": b.ConnectsPerSecond,
 		"moves_per_s": b.MovesPerSecond, "opens_per_s": b.OpensPerSecond, "open_per_customer": b.OpenPerCustomer}
 }
@@ -137,7 +137,7 @@
 }
 
 // group is how many deal with one another as equals: the control machines, or the nodes where there are none.
-func (s *Scenario) group() int {
+func (s *Scenario) peerCount() int {
 	if s.ControlMachines > 0 {
 		return s.ControlMachines
 	}
@@ -154,39 +154,39 @@
 }
 
 // preference gives the control machines of a node, as processes: first those of its zone, each node beginning with another.
-func (s *Scenario) preference(index int) (near []int) {
+func (s *Scenario) controlMachinesByZone(index int) (near []int) {
 	var far []int
 	for i := range s.ControlMachines {
-		if c := s.Nodes + (index+i)%s.ControlMachines; s.zone(c) == s.zone(index) {
-			near = append(near, c)
+		if control := s.Nodes + (index+i)%s.ControlMachines; s.zone(control) == s.zone(index) {
+			near = append(near, control)
 		} else {
-			far = append(far, c)
+			far = append(far, control)
 		}
 	}
 	return append(near, far...)
 }
 
 // missing is the place of the first node that an event names and that is not there; -1 where all are.
-func (s *Scenario) missing(e Event) int {
+func (s *Scenario) unknownNodeIndex(e Event) int {
 	return slices.IndexFunc(e.Nodes, func(n int) bool { return n < 0 || n >= s.Nodes+s.ControlMachines })
 }
 
-var kinds = []string{"kill", "stop", "pause", "twin", "split", "link", "replace_servers", "crash_servers", "hang_servers", "list_down", "list_stuck",
+var eventKinds = []string{"kill", "stop", "pause", "twin", "split", "link", "replace_servers", "crash_servers", "hang_servers", "list_down", "list_stuck",
 	"upgrade", "reload", "log_stuck", "clock_step", "syscalls", "spoil_servers"}
 
 // calls are the system calls that may be made to fail.
-var calls = map[string]shim.Call{"accept": shim.Accept, "socket": shim.Socket, "connect": shim.Connect}
+var syscalls = map[string]shim.Call{"accept": shim.Accept, "socket": shim.Socket, "connect": shim.Connect}
 
 //go:embed scenarios/*.toml
-var kept embed.FS
+var embedded embed.FS
 
 // EmbeddedNames returns the names of the scenarios that come with the program.
-func EmbeddedNames() []string { return scenario.EmbeddedNames(kept) }
+func EmbeddedNames() []string { return scenario.EmbeddedNames(embedded) }
 
 // Load reads a kept scenario by its name, or a file.
 func Load(name string) (*Scenario, error) {
 	s := &Scenario{}
-	return s, scenario.Load(kept, name, s)
+	return s, scenario.Load(embedded, name, s)
 }
 
 // SetNodes plays the scenario with another number of nodes. An error names the scenario and the key that does not fit it, such as
@@ -201,11 +201,11 @@
 
 // Check names the first key that is faulty.
 func (s *Scenario) Check() error {
-	c, v := s.Clients, s.Server
-	for _, f := range []struct {
-		key  string
-		good bool
-		want string
+	clients, server := s.Clients, s.Server
+	for _, rule := range []struct {
+		key         string
+		valid       bool
+		requirement string
 	}{
 		{"name", s.Name != "", "a text"},
 		{"length", s.Length > 0 && s.Length <= Duration(time.Hour), "over 0, at most 1h"},
@@ -213,21 +213,21 @@
 		{"control", s.ControlMachines >= 0 && s.ControlMachines <= 32 && (s.ControlMachines == 0 || s.Quotas.Leased), "0 to 32, and 0 without budgets.lease"},
 		{"zones", s.Zones >= 0 && s.Zones <= s.Nodes, "0 to the nodes"},
 		{"servers", s.Servers > 0 && s.Servers <= 300, "1 to 300"},
-		{"clients.standing", c.Initial >= 0 && c.Initial <= 4000, "0 to 4000"},
-		{"clients.customers", c.Customers >= 0, "0 or more"},
-		{"clients.per_second", c.PerSecond >= 0 && c.PerSecond <= 2000, "0 to 2000"},
-		{"clients.life", c.MeanDuration > 0, "over 0"},
-		{"clients.deadline", c.Deadline >= Duration(100*time.Millisecond), "0.1s or more"},
-		{"clients.rejoin", c.ReconnectDelay[0] > 0 && c.ReconnectDelay[1] >= c.ReconnectDelay[0], "two times over 0, the shorter first"},
-		{"clients.uneven", c.BusyNodeWeight >= 0 && c.BusyNodeWeight <= 1000, "0 to 1000"},
-		{"clients.odd", c.MisbehavingPerSecond >= 0 && c.MisbehavingPerSecond <= 1000, "0 to 1000"},
-		{"clients.unsafe", c.NotIdempotentFraction >= 0 && c.KeyedFraction >= 0 && c.NotIdempotentFraction+c.KeyedFraction <= 1, "0 to 1, and no more than 1 with clients.keyed"},
-		{"server.holds", v.Capacity > 0, "over 0"},
-		{"server.cold_from", v.SlowStartMinCapacity > 0 && v.SlowStartMinCapacity <= 1, "over 0, at most 1"},
-		{"server.cold_for", v.SlowStartDuration > 0, "over 0"},
-		{"server.fall_multiple", v.OverloadFactor > 0, "over 0"},
-		{"server.fall_window", v.OverloadWindow > 0, "over 0"},
-		{"server.grace", v.DrainGrace >= 0, "0 or more"},
+		{"clients.standing", clients.Initial >= 0 && clients.Initial <= 4000, "0 to 4000"},
+		{"clients.customers", clients.Customers >= 0, "0 or more"},
+		{"clients.per_second", clients.PerSecond >= 0 && clients.PerSecond <= 2000, "0 to 2000"},
+		{"clients.life", clients.MeanDuration > 0, "over 0"},
+		{"clients.deadline", clients.Deadline >= Duration(100*time.Millisecond), "0.1s or more"},
+		{"clients.rejoin", clients.ReconnectDelay[0] > 0 && clients.ReconnectDelay[1] >= clients.ReconnectDelay[0], "two times over 0, the shorter first"},
+		{"clients.uneven", clients.BusyNodeWeight >= 0 && clients.BusyNodeWeight <= 1000, "0 to 1000"},
+		{"clients.odd", clients.MisbehavingPerSecond >= 0 && clients.MisbehavingPerSecond <= 1000, "0 to 1000"},
+		{"clients.unsafe", clients.NotIdempotentFraction >= 0 && clients.KeyedFraction >= 0 && clients.NotIdempotentFraction+clients.KeyedFraction <= 1, "0 to 1, and no more than 1 with clients.keyed"},
+		{"server.holds", server.Capacity > 0, "over 0"},
+		{"server.cold_from", server.SlowStartMinCapacity > 0 && server.SlowStartMinCapacity <= 1, "over 0, at most 1"},
+		{"server.cold_for", server.SlowStartDuration > 0, "over 0"},
+		{"server.fall_multiple", server.OverloadFactor > 0, "over 0"},
+		{"server.fall_window", server.OverloadWindow > 0, "over 0"},
+		{"server.grace", server.DrainGrace >= 0, "0 or more"},
 		{"list.per_second", s.ListService.CallsPerSecond >= 0, "0 or more"},
 		{"list.patience", s.ListService.CallTimeout >= 0, "0 or more"},
 		{"list.lag", s.ListService.PropagationDelay >= 0, "0 or more"},
@@ -235,20 +235,20 @@
 		{"fleet", s.FleetSize == 0 || s.FleetSize >= s.Nodes, "0, or the nodes or more"},
 		{"budgets.floor", s.Quotas.GuaranteedFraction >= 0 && s.Quotas.GuaranteedFraction <= 1, "0 to 1: the fixed parts are no more than the whole"},
 	} {
-		if !f.good {
-			return fmt.Errorf("%s: must be %s", f.key, f.want)
+		if !rule.valid {
+			return fmt.Errorf("%s: must be %s", rule.key, rule.requirement)
 		}
 	}
-	for key, n := range s.Quotas.rates() {
-		if n < 0 || n > 0 && !s.Quotas.Leased {
+	for key, limit := range s.Quotas.limits() {
+		if limit < 0 || limit > 0 && !s.Quotas.Leased {
 			return fmt.Errorf("budgets.%s: must be 0 or more, and 0 without lease", key)
 		}
 	}
 	for i, e := range s.Events {
-		odds := max(e.Loss, e.Duplicate, e.Reorder)
+		maxProbability := max(e.Loss, e.Duplicate, e.Reorder)
 		switch {
-		case !slices.Contains(kinds, e.Kind):
-			return fmt.Errorf("events[%d].do: %q is none of %s", i, e.Kind, strings.Join(kinds, ", "))
+		case !slices.Contains(eventKinds, e.Kind):
+			return fmt.Errorf("events[%d].do: %q is none of %s", i, e.Kind, strings.Join(eventKinds, ", "))
 		case e.At < 0 || e.At > s.Length:
 			return fmt.Errorf("events[%d].at: must lie within the length", i)
 		case e.Fraction < 0 || e.Fraction > 1:
@@ -257,11 +257,11 @@
 			return fmt.Errorf("events[%d].steps: must be 0 or more", i)
 		case e.Duration < 0 || e.Stagger < 0 || e.Delay < 0:
 			return fmt.Errorf("events[%d]: times must be 0 or more", i)
-		case s.missing(e) >= 0:
-			return fmt.Errorf("events[%d].nodes: %d is not 0 to %d", i, e.Nodes[s.missing(e)], s.Nodes+s.ControlMachines-1)
+		case s.unknownNodeIndex(e) >= 0:
+			return fmt.Errorf("events[%d].nodes: %d is not 0 to %d", i, e.Nodes[s.unknownNodeIndex(e)], s.Nodes+s.ControlMachines-1)
 		case e.Group != "" && (e.Group != "control" || s.ControlMachines == 0):
 			return fmt.Errorf("events[%d].of: %q is not control, of which there are %d", i, e.Group, s.ControlMachines)
-		case odds > 1 || min(e.Loss, e.Duplicate, e.Reorder) < 0:
+		case maxProbability > 1 || min(e.Loss, e.Duplicate, e.Reorder) < 0:
 			return fmt.Errorf("events[%d]: lose, twice and late must be 0 to 1", i)
 		case s.ListService.NotificationGrace > 0 && (e.Kind == "list_stuck" || e.Kind == "link" && e.Link == "list"):
 			return fmt.Errorf("events[%d]: with list.told the service is the same to all nodes", i)
@@ -271,7 +271,7 @@
 			return fmt.Errorf("events[%d].do: %s needs shim = true", i, e.Kind)
 		case !s.InheritSocket && e.Kind == "upgrade":
 			return fmt.Errorf("events[%d].do: upgrade needs inherit = true", i)
-		case e.Kind == "syscalls" && (len(e.Syscalls) == 0 || slices.ContainsFunc(e.Syscalls, func(c string) bool { return calls[c] == 0 })):
+		case e.Kind == "syscalls" && (len(e.Syscalls) == 0 || slices.ContainsFunc(e.Syscalls, func(c string) bool { return syscalls[c] == 0 })):
 			return fmt.Errorf("events[%d].calls: %q are not of accept, socket, connect", i, e.Syscalls)
 		case e.Kind != "link":
 		case !slices.Contains([]string{"peers", "children", "list", "servers", "clients"}, e.Link):
@@ -282,9 +282,9 @@
 			return fmt.Errorf("events[%d].link: peers are the control machines, where there are any", i)
 		case !slices.Contains([]string{"to", "from", "both"}, e.Direction):
 			return fmt.Errorf("events[%d].way: %q is none of to, from, both", i, e.Direction)
-		case modes[e.Mode] == 0 && e.Mode != "pass":
+		case linkModes[e.Mode] == 0 && e.Mode != "pass":
 			return fmt.Errorf("events[%d].mode: %q is none of pass, drop, stall, reset, cut", i, e.Mode)
-		case odds > 0 && e.Link != "peers" && e.Link != "children":
+		case maxProbability > 0 && e.Link != "peers" && e.Link != "children":
 			return fmt.Errorf("events[%d]: lose, twice and late are for peers and children, whose words are datagrams", i)
 		}
 	}
--- a/lab/rig/sizes.go
+++ b/lab/rig/sizes.go
@@ -42,21 +42,21 @@
 }
 
 // bounds are what the operators' page allows a node beside servers, against what it needs at the usual size.
-func (r *SizeResult) bounds(usual *SizeResult) {
+func (r *SizeResult) checkBounds(baseline *SizeResult) {
 	thousands := float64(r.Servers) / 1000
-	for _, b := range []struct {
-		name      string
-		got, most float64
+	for _, bound := range []struct {
+		name         string
+		value, limit float64
 	}{
-		{"processor time, s", r.CPUSeconds, 1.4*usual.CPUSeconds + 0.02 + 0.03*thousands},
-		{"peak memory, MB", r.MemoryMB, 1.5*usual.MemoryMB + 8 + 4*thousands},
-		{"descriptors", float64(r.Descriptors), 2*float64(usual.Descriptors) + 40},
-		{"connections made to servers", float64(r.Connections), 2.5*float64(usual.Connections) + 40},
-		{"bytes of lists", float64(r.ListBytes), 2*float64(usual.ListBytes) + 64<<10 + 500_000*thousands},
-		{"part served", -r.Served, -0.85 * usual.Served},
+		{"processor time, s", r.CPUSeconds, 1.4*baseline.CPUSeconds + 0.02 + 0.03*thousands},
+		{"peak memory, MB", r.MemoryMB, 1.5*baseline.MemoryMB + 8 + 4*thousands},
+		{"descriptors", float64(r.Descriptors), 2*float64(baseline.Descriptors) + 40},
+		{"connections made to servers", float64(r.Connections), 2.5*float64(baseline.Connections) + 40},
+		{"bytes of lists", float64(r.ListBytes), 2*float64(baseline.ListBytes) + 64<<10 + 500_000*thousands},
+		{"part served", -r.Served, -0.85 * baseline.Served},
 	} {
-		if b.got > b.most {
-			r.ExceededBounds = append(r.ExceededBounds, fmt.Sprintf("%s: %.2f, %.2f allowed", b.name, max(b.got, -b.got), max(b.most, -b.most)))
+		if bound.value > bound.limit {
+			r.ExceededBounds = append(r.ExceededBounds, fmt.Sprintf("%s: %.2f, %.2f allowed", bound.name, max(bound.value, -bound.value), max(bound.limit, -bound.limit)))
 		}
 	}
 }
@@ -73,51 +73,51 @@
 		return nil, err
 	}
 	for _, servers := range s.Servers {
-		r, err := s.play(servers)
+		result, err := s.runSize(servers)
 		if err != nil {
 			return nil, fmt.Errorf("%d servers: %w", servers, err)
 		}
-		if all = append(all, r); len(all) > 1 {
-			r.bounds(all[0])
+		if all = append(all, result); len(all) > 1 {
+			result.checkBounds(all[0])
 		}
 	}
 	return all, nil
 }
 
 // sizePlay is one play.
-type sizePlay struct {
+type sizeRun struct {
 	SizeTest
-	list        *emulator.ListService
-	servers     []*emulator.Server
-	connections atomic.Int64
-	listBytes   atomic.Int64
-	asked, up   atomic.Int64
+	listService         *emulator.ListService
+	servers             []*emulator.Server
+	connections         atomic.Int64
+	listBytes           atomic.Int64
+	requests, connected atomic.Int64
 }
 
-func (s SizeTest) play(servers int) (*SizeResult, error) {
-	p := &sizePlay{SizeTest: s}
-	passes := func(int) (in, out *emulator.Direction) { return &emulator.Direction{}, &emulator.Direction{} }
-	p.list = emulator.NewListService(emulator.ListConfig{}, p.told, func(emulator.Call) {})
-	defer p.list.Close()
-	if err := p.list.Open(passes); err != nil {
+func (s SizeTest) runSize(servers int) (*SizeResult, error) {
+	run := &sizeRun{SizeTest: s}
+	unimpaired := func(int) (in, out *emulator.Direction) { return &emulator.Direction{}, &emulator.Direction{} }
+	run.listService = emulator.NewListService(emulator.ListConfig{}, run.onNotification, func(emulator.Call) {})
+	defer run.listService.Close()
+	if err := run.listService.Open(unimpaired); err != nil {
 		return nil, err
 	}
-	kind := emulator.ServerConfig{Capacity: 1000}
+	config := emulator.ServerConfig{Capacity: 1000}
 	for i := range servers {
-		server := emulator.NewServer(fmt.Sprintf("s-%d", i), kind, time.Time{}, p.received)
-		if err := server.Open(passes); err != nil {
+		server := emulator.NewServer(fmt.Sprintf("s-%d", i), config, time.Time{}, run.onServerEvent)
+		if err := server.Open(unimpaired); err != nil {
 			return nil, err
 		}
 		defer server.Stop()
-		p.servers = append(p.servers, server)
-		p.list.UpdateServer(server, "up")
+		run.servers = append(run.servers, server)
+		run.listService.UpdateServer(server, "up")
 	}
-	for version := int64(0); version < int64(servers); version, _ = p.list.Snapshot(0) { // each is listed in a moment
+	for version := int64(0); version < int64(servers); version, _ = run.listService.Snapshot(0) { // each is listed in a moment
 		time.Sleep(5 * time.Millisecond)
 	}
 	starter := process.NewStarter()
 	defer starter.Close()
-	node, err := starter.StartNode(s.Binary, 0, p.config(), nil, func(*process.Process, map[string]any) {})
+	node, err := starter.StartNode(s.Binary, 0, run.nodeConfig(), nil, func(*process.Process, map[string]any) {})
 	if err != nil {
 		return nil, err
 	}
@@ -129,15 +129,15 @@
 	case <-time.After(30 * time.Second):
 		return nil, fmt.Errorf("the node does not serve within 30 s")
 	}
-	return p.day(node), nil
+	return run.observe(node), nil
 }
 
 // config is the node's: one of a large fleet whose traffic is its own part.
-func (p *sizePlay) config() map[string]any {
-	version, known := p.list.Snapshot(0)
-	return map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": p.list.Addr(), "seed": strconv.FormatUint(p.Seed, 16),
+func (p *sizeRun) nodeConfig() map[string]any {
+	version, servers := p.listService.Snapshot(0)
+	return map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": p.listService.Addr(), "seed": strconv.FormatUint(p.Seed, 16),
 		"source": emulator.SourceAddr(0).String(), "limits": map[string]any{"cores": 1, "sockets": 1024},
-		"known": map[string]any{"version": version, "full": true, "servers": known},
+		"known": map[string]any{"version": version, "full": true, "servers": servers},
 		"settings": map[string]any{"balancers": p.FleetSize, "tick_us": 5000, "membership_mode": "on_request",
 			"ceilings": map[string]any{"dial_timeout_us": 200_000, "keepalive_us": 5_000_000, "max_retry_after_us": 1_000_000, "may_probe": true,
 				"retry_after": true, "send_cap": 3},
@@ -147,66 +147,66 @@
 			"rules":       map[string]any{"cold_from": 0.3, "cold_us": 8_000_000, "fall_multiple": 3, "fall_us": 2_000_000}}}
 }
 
-func (p *sizePlay) told(t emulator.Notification) {
-	for _, e := range t.Endpoints {
-		p.listBytes.Add(int64(len(e.ID) + len(e.Addr) + entryBytes))
+func (p *sizeRun) onNotification(notification emulator.Notification) {
+	for _, e := range notification.Endpoints {
+		p.listBytes.Add(int64(len(e.ID) + len(e.Addr) + listEntryBytes))
 	}
 }
 
 // entryBytes is what an entry of a list takes beside its id and address.
-const entryBytes = 90
+const listEntryBytes = 90
 
-func (p *sizePlay) received(r emulator.Event) {
-	if r.Kind == emulator.ConnectionAccepted {
+func (p *sizeRun) onServerEvent(event emulator.Event) {
+	if event.Kind == emulator.ConnectionAccepted {
 		p.connections.Add(1)
 	}
 }
 
 // day has clients come and the list change while the node is watched.
-func (p *sizePlay) day(node *process.Process) *SizeResult {
+func (p *sizeRun) observe(node *process.Process) *SizeResult {
 	pid := strconv.Itoa(node.PID())
 	before := process.ReadUsage(pid)
-	r := &SizeResult{Servers: len(p.servers)}
+	result := &SizeResult{Servers: len(p.servers)}
 	rng := rand.New(rand.NewPCG(p.Seed, 4))
-	begun, end := time.Now(), time.Now().Add(p.Length)
+	start, end := time.Now(), time.Now().Add(p.Length)
 	var clients sync.WaitGroup
-	next, change := begun, begun
+	nextClient, nextChange := start, start
 	for number := 0; time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		for now := time.Now(); next.Before(now); number++ {
-			next = next.Add(time.Duration(rng.ExpFloat64() / p.ClientsPerSecond * float64(time.Second)))
-			clients.Go(func() { p.client(node, number, end) })
+		for now := time.Now(); nextClient.Before(now); number++ {
+			nextClient = nextClient.Add(time.Duration(rng.ExpFloat64() / p.ClientsPerSecond * float64(time.Second)))
+			clients.Go(func() { p.runClient(node, number, end) })
 		}
-		if now := time.Now(); change.Before(now) {
-			change = change.Add(time.Second)
-			p.list.UpdateServer(p.servers[rng.IntN(len(p.servers))], "up")
-			r.Descriptors = max(r.Descriptors, process.ReadUsage(pid).Descriptors)
+		if now := time.Now(); nextChange.Before(now) {
+			nextChange = nextChange.Add(time.Second)
+			p.listService.UpdateServer(p.servers[rng.IntN(len(p.servers))], "up")
+			result.Descriptors = max(result.Descriptors, process.ReadUsage(pid).Descriptors)
 		}
 	}
 	after := process.ReadUsage(pid)
-	r.CPUSeconds, r.MemoryMB = (after.CPU - before.CPU).Seconds(), after.Peak/(1<<20)
-	r.Connections, r.ListBytes = p.connections.Load(), p.listBytes.Load()
+	result.CPUSeconds, result.MemoryMB = (after.CPU - before.CPU).Seconds(), after.Peak/(1<<20)
+	result.Connections, result.ListBytes = p.connections.Load(), p.listBytes.Load()
 	clients.Wait()
-	if n := p.asked.Load(); n > 0 {
-		r.Served = float64(p.up.Load()) / float64(n)
+	if requests := p.requests.Load(); requests > 0 {
+		result.Served = float64(p.connected.Load()) / float64(requests)
 	}
-	return r
+	return result
 }
 
 // client asks once, and stays for a while.
-func (p *sizePlay) client(node *process.Process, number int, end time.Time) {
+func (p *sizeRun) runClient(node *process.Process, number int, end time.Time) {
 	addr, _ := node.Address()
-	c, err := net.Dial("tcp", addr)
+	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return
 	}
-	defer c.Close()
-	p.asked.Add(1)
-	fmt.Fprintf(c, "OPEN i-%d k-%d c=c,d=2000\r\n", number, number)
-	c.SetReadDeadline(time.Now().Add(3 * time.Second))
-	line, _ := bufio.NewReader(c).ReadString('\n')
+	defer conn.Close()
+	p.requests.Add(1)
+	fmt.Fprintf(conn, "OPEN i-%d k-%d c=c,d=2000\r\n", number, number)
+	conn.SetReadDeadline(time.Now().Add(3 * time.Second))
+	line, _ := bufio.NewReader(conn).ReadString('\n')
 	if strings.HasPrefix(line, "UP ") {
-		p.up.Add(1)
-		c.SetReadDeadline(end)
-		io.Copy(io.Discard, c)
+		p.connected.Add(1)
+		conn.SetReadDeadline(end)
+		io.Copy(io.Discard, conn)
 	}
 }
--- a/lab/rig/soak_test.go
+++ b/lab/rig/soak_test.go
@@ -37,7 +37,7 @@
 			drawn[e.Kind]++
 		}
 	}
-	for _, kind := range kinds {
+	for _, kind := range eventKinds {
 		if drawn[kind] == 0 && kind != "twin" && kind != "split" { // a second process spends a part of its own; no words to split
 			t.Errorf("no day has %s", kind)
 		}
--- a/lab/rig/trouble.go
+++ b/lab/rig/trouble.go
@@ -11,14 +11,14 @@
 )
 
 // acted notes that an event was seen to act, at who met it.
-func (r *rig) acted(event, times int) {
+func (r *run) recordEffect(event, count int) {
 	r.mu.Lock()
-	r.effects[event] += times
+	r.effects[event] += count
 	r.mu.Unlock()
 }
 
 // chosen gives the nodes that an event is about.
-func (r *rig) chosen(e Event) (nodes []*node) {
+func (r *run) selectNodes(e Event) (nodes []*node) {
 	if len(e.Nodes) > 0 {
 		for _, i := range e.Nodes {
 			nodes = append(nodes, r.nodes[i])
@@ -27,29 +27,29 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	of := r.nodes[:r.s.Nodes]
+	group := r.nodes[:r.scenario.Nodes]
 	if e.Group == "control" {
-		of = r.nodes[r.s.Nodes:]
+		group = r.nodes[r.scenario.Nodes:]
 	}
-	for _, i := range r.rng.Perm(len(of))[:part(len(of), e.Fraction)] {
-		nodes = append(nodes, of[i])
+	for _, i := range r.rng.Perm(len(group))[:countOf(len(group), e.Fraction)] {
+		nodes = append(nodes, group[i])
 	}
 	return nodes
 }
 
 // inTurn does something to each of count, spread over the event's time one by one or in its steps, and returns when all is done.
-func (r *rig) inTurn(e Event, count int, do func(i int)) {
-	begun := time.Now()
+func (r *run) stagger(e Event, count int, hit func(i int)) {
+	startedAt := time.Now()
 	done := make(chan struct{}, count)
 	for i := range count {
 		go func() {
 			defer func() { done <- struct{}{} }()
-			turn := float64(i) / float64(count)
+			offset := float64(i) / float64(count)
 			if e.Steps > 0 {
-				turn = float64(i*e.Steps/count) / float64(e.Steps)
+				offset = float64(i*e.Steps/count) / float64(e.Steps)
 			}
-			if r.sleep(time.Until(begun.Add(time.Duration(float64(e.Stagger) * turn)))) {
-				do(i)
+			if r.sleep(time.Until(startedAt.Add(time.Duration(float64(e.Stagger) * offset)))) {
+				hit(i)
 			}
 		}()
 	}
@@ -59,167 +59,167 @@
 }
 
 // trouble lets an event happen, to its end.
-func (r *rig) trouble(at int, e Event) {
-	lasts := time.Duration(e.Duration)
+func (r *run) inject(index int, e Event) {
+	duration := time.Duration(e.Duration)
 	switch e.Kind {
 	case "kill", "stop":
-		nodes := r.chosen(e)
-		r.inTurn(e, len(nodes), func(i int) { r.restart(at, e, nodes[i]) })
+		nodes := r.selectNodes(e)
+		r.stagger(e, len(nodes), func(i int) { r.restart(index, e, nodes[i]) })
 	case "pause":
-		nodes := r.chosen(e)
-		r.inTurn(e, len(nodes), func(i int) {
+		nodes := r.selectNodes(e)
+		r.stagger(e, len(nodes), func(i int) {
 			n := nodes[i]
-			p := r.process(n)
-			r.disturb(n, true)
-			stopped := time.Now()
+			p := r.currentProcess(n)
+			r.setDisturbed(n, true)
+			suspendedAt := time.Now()
 			p.Signal(syscall.SIGSTOP)
-			for until := time.Now().Add(time.Second); time.Now().Before(until); time.Sleep(time.Millisecond) {
+			for deadline := time.Now().Add(time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 				if p.Suspended() {
-					r.acted(at, 1)
+					r.recordEffect(index, 1)
 					break
 				}
 			}
-			r.sleep(lasts)
-			r.ref.NodeResumed(n.index, stopped, time.Now())
+			r.sleep(duration)
+			r.checker.NodeResumed(n.index, suspendedAt, time.Now())
 			p.Signal(syscall.SIGCONT)
 			time.Sleep(200 * time.Millisecond) // what waited meanwhile
-			r.disturb(n, false)
+			r.setDisturbed(n, false)
 		})
 	case "twin":
-		for _, n := range r.chosen(e) {
-			p := r.startNode(at, n, 0, true)
+		for _, n := range r.selectNodes(e) {
+			p := r.startNode(index, n, 0, true)
 			if p == nil {
 				return
 			}
 			if _, up := p.Address(); up {
-				r.acted(at, 1)
+				r.recordEffect(index, 1)
 			}
-			r.work.Go(func() {
-				if r.sleep(lasts) {
+			r.tasks.Go(func() {
+				if r.sleep(duration) {
 					p.Kill()
 				}
 			})
 		}
 	case "split": // words between the two halves
-		var ways []*emulator.Direction
+		var directions []*emulator.Direction
 		for i := range r.nodes {
 			for j := range i {
-				if r.half(i) != r.half(j) {
-					ways = append(append(ways, r.wordWay(i, j)...), r.wordWay(j, i)...)
+				if r.isInFirstHalf(i) != r.isInFirstHalf(j) {
+					directions = append(append(directions, r.datagramDirections(i, j)...), r.datagramDirections(j, i)...)
 				}
 			}
 		}
-		r.fault(at, ways, func(w *emulator.Direction, on bool) { w.Set(mode(on, emulator.Drop), 0) }, lasts)
+		r.switchFault(index, directions, func(direction *emulator.Direction, on bool) { direction.Set(modeIf(on, emulator.Drop), 0) }, duration)
 	case "link":
-		r.link(at, e, lasts)
+		r.injectLinkFault(index, e, duration)
 	case "replace_servers":
-		r.replace(at, e)
+		r.replaceServers(index, e)
 	case "crash_servers", "hang_servers":
-		for _, s := range r.some(e) {
+		for _, s := range r.selectServers(e) {
 			if e.Kind == "hang_servers" {
 				s.SetHanging(true)
-				r.work.Go(func() {
-					r.sleep(lasts)
+				r.tasks.Go(func() {
+					r.sleep(duration)
 					s.SetHanging(false)
-					r.acted(at, int(s.HangingLines.Load()))
+					r.recordEffect(index, int(s.HangingLines.Load()))
 				})
 				continue
 			}
 			s.Stop()
-			r.acted(at, 1)
-			r.work.Go(func() {
-				r.sleep(lasts)
-				r.leave(s, "removed")
+			r.recordEffect(index, 1)
+			r.tasks.Go(func() {
+				r.sleep(duration)
+				r.reportLeaving(s, "removed")
 				if err := r.newServer(time.Now()); err != nil {
 					r.fail("a server does not start: %v", err)
 				}
 			})
 		}
 	case "upgrade":
-		nodes := r.chosen(e)
-		r.inTurn(e, len(nodes), func(i int) { r.upgrade(at, nodes[i]) })
+		nodes := r.selectNodes(e)
+		r.stagger(e, len(nodes), func(i int) { r.upgrade(index, nodes[i]) })
 	case "reload":
-		nodes := r.chosen(e)
-		r.inTurn(e, len(nodes), func(i int) { r.reload(at, nodes[i]) })
+		nodes := r.selectNodes(e)
+		r.stagger(e, len(nodes), func(i int) { r.reload(index, nodes[i]) })
 	case "log_stuck":
-		r.eachFor(r.chosen(e), lasts, func(n *node, p *process.Process, on bool) {
+		r.applyFor(r.selectNodes(e), duration, func(n *node, p *process.Process, on bool) {
 			if p.PauseLog(on); on {
-				r.acted(at, 1)
+				r.recordEffect(index, 1)
 			}
 		})
 	case "clock_step":
-		r.eachFor(r.chosen(e), lasts, func(n *node, p *process.Process, on bool) {
+		r.applyFor(r.selectNodes(e), duration, func(n *node, p *process.Process, on bool) {
 			if on {
-				r.step(n, time.Duration(e.ClockOffset))
-				r.acted(at, 1)
+				r.setClockOffset(n, time.Duration(e.ClockOffset))
+				r.recordEffect(index, 1)
 			} else {
-				r.step(n, 0)
+				r.setClockOffset(n, 0)
 			}
 		})
 	case "syscalls":
-		r.eachFor(r.chosen(e), lasts, func(n *node, p *process.Process, on bool) { r.failCalls(at, e, n, on) })
+		r.applyFor(r.selectNodes(e), duration, func(n *node, p *process.Process, on bool) { r.setSyscallFailures(index, e, n, on) })
 	case "spoil_servers":
-		for _, s := range r.some(e) {
+		for _, s := range r.selectServers(e) {
 			s.SetMalformedFraction(e.Probability)
-			r.work.Go(func() {
-				r.sleep(lasts)
+			r.tasks.Go(func() {
+				r.sleep(duration)
 				s.SetMalformedFraction(0)
-				r.acted(at, int(s.MalformedAnswers.Load()))
+				r.recordEffect(index, int(s.MalformedAnswers.Load()))
 			})
 		}
 	case "list_stuck": // and those who ask it call anew meanwhile
-		before := r.list.StaleAnswers.Load()
-		nodes := r.chosen(e)
+		staleBefore := r.listService.StaleAnswers.Load()
+		nodes := r.selectNodes(e)
 		for _, n := range nodes {
-			r.list.SetStale(n.index, true)
+			r.listService.SetStale(n.index, true)
 		}
-		r.sleep(lasts)
+		r.sleep(duration)
 		for _, n := range nodes {
-			r.list.SetStale(n.index, false)
+			r.listService.SetStale(n.index, false)
 		}
-		r.acted(at, int(r.list.StaleAnswers.Load()-before))
+		r.recordEffect(index, int(r.listService.StaleAnswers.Load()-staleBefore))
 	case "list_down":
 		r.mu.Lock()
-		before := r.totals["list calls failed"]
+		failedBefore := r.totals["list calls failed"]
 		r.mu.Unlock()
-		r.listDown(true)
-		r.sleep(lasts)
-		r.listDown(false)
+		r.setListDown(true)
+		r.sleep(duration)
+		r.setListDown(false)
 		r.mu.Lock()
-		r.effects[at] += r.totals["list calls failed"] - before
+		r.effects[index] += r.totals["list calls failed"] - failedBefore
 		r.mu.Unlock()
 	}
 }
 
 // eachFor does something to the processes that nodes have now, and undoes it after a while.
-func (r *rig) eachFor(nodes []*node, lasts time.Duration, do func(n *node, p *process.Process, on bool)) {
-	var all []*process.Process
+func (r *run) applyFor(nodes []*node, duration time.Duration, apply func(n *node, p *process.Process, on bool)) {
+	var processes []*process.Process
 	for _, n := range nodes {
-		p := r.process(n)
-		all = append(all, p)
-		do(n, p, true)
+		p := r.currentProcess(n)
+		processes = append(processes, p)
+		apply(n, p, true)
 	}
-	r.sleep(lasts)
+	r.sleep(duration)
 	for i, n := range nodes {
-		do(n, all[i], false)
+		apply(n, processes[i], false)
 	}
 }
 
 // upgrade starts a node's next process beside the one that serves, which is told to stop once the next serves.
-func (r *rig) upgrade(at int, n *node) {
-	before := r.process(n)
-	next := r.startNode(at, n, 0, false)
+func (r *run) upgrade(index int, n *node) {
+	old := r.currentProcess(n)
+	next := r.startNode(index, n, 0, false)
 	if next == nil {
 		return
 	}
 	if _, up := next.Address(); up {
-		r.acted(at, 1)
+		r.recordEffect(index, 1)
 	}
-	r.stopProcess(n, before)
+	r.stopProcess(n, old)
 }
 
 // stopProcess tells a process of a node to stop, and waits until it has. It tells whether it did so in time.
-func (r *rig) stopProcess(n *node, p *process.Process) bool {
+func (r *run) stopProcess(n *node, p *process.Process) bool {
 	p.Stop()
 	select {
 	case <-p.Exited:
@@ -232,11 +232,11 @@
 }
 
 // reload has a node's process ask the other address of the list service.
-func (r *rig) reload(at int, n *node) {
-	cfg, p := r.config(n, 0), r.process(n)
+func (r *run) reload(index int, n *node) {
+	cfg, p := r.nodeConfig(n, 0), r.currentProcess(n)
 	r.mu.Lock()
-	if n.elsewhere = !n.elsewhere; n.elsewhere {
-		cfg["discovery"] = r.other
+	if n.usesAlternateList = !n.usesAlternateList; n.usesAlternateList {
+		cfg["discovery"] = r.alternateListAddr
 	}
 	r.mu.Unlock()
 	if err := p.Reload(cfg); errors.Is(err, os.ErrClosed) { // the process has been killed meanwhile
@@ -245,36 +245,36 @@
 		r.fail("node %d cannot be reloaded: %v", n.index, err)
 		return
 	}
-	r.acted(at, 1)
+	r.recordEffect(index, 1)
 }
 
 // step has the wall clock of a node's machine be off.
-func (r *rig) step(n *node, off time.Duration) {
+func (r *run) setClockOffset(n *node, offset time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	n.shim.SetClockOffset(off)
+	n.shim.SetClockOffset(offset)
 }
 
 // failCalls has system calls of a node's process fail by chance, or no more.
-func (r *rig) failCalls(at int, e Event, n *node, on bool) {
+func (r *run) setSyscallFailures(index int, e Event, n *node, on bool) {
 	r.mu.Lock()
-	s := n.shim
+	nodeShim := n.shim
 	r.mu.Unlock()
 	for _, call := range e.Syscalls {
 		if on {
-			s.SetFailureProbability(calls[call], e.Probability)
+			nodeShim.SetFailureProbability(syscalls[call], e.Probability)
 		} else {
-			s.SetFailureProbability(calls[call], 0)
+			nodeShim.SetFailureProbability(syscalls[call], 0)
 		}
 	}
 	if !on {
-		r.acted(at, int(s.FailedCalls.Load()))
+		r.recordEffect(index, int(nodeShim.FailedCalls.Load()))
 	}
 }
 
 // half tells on which side of a split a process is: that of the first zones, or of the first nodes where there is one zone.
-func (r *rig) half(index int) bool {
-	s := r.s
+func (r *run) isInFirstHalf(index int) bool {
+	s := r.scenario
 	if s.Zones > 1 {
 		return s.zone(index) < s.Zones/2
 	} else if index >= s.Nodes {
@@ -284,34 +284,34 @@
 }
 
 // generations tells that one of two processes is the other's control machine.
-func (r *rig) generations(i, j int) bool {
-	return r.s.ControlMachines > 0 && (i < r.s.Nodes) != (j < r.s.Nodes)
+func (r *run) isParentAndChild(i, j int) bool {
+	return r.scenario.ControlMachines > 0 && (i < r.scenario.Nodes) != (j < r.scenario.Nodes)
 }
 
 // wordWay is the way of words from one process to another, where there is one.
-func (r *rig) wordWay(from, to int) []*emulator.Direction {
-	switch n := r.s.Nodes; {
-	case r.generations(from, to):
-		return []*emulator.Direction{r.below.Direction(from, to)}
-	case r.s.ControlMachines == 0:
-		return []*emulator.Direction{r.words.Direction(from, to)}
+func (r *run) datagramDirections(from, to int) []*emulator.Direction {
+	switch n := r.scenario.Nodes; {
+	case r.isParentAndChild(from, to):
+		return []*emulator.Direction{r.childNetwork.Direction(from, to)}
+	case r.scenario.ControlMachines == 0:
+		return []*emulator.Direction{r.peerNetwork.Direction(from, to)}
 	case from >= n:
-		return []*emulator.Direction{r.words.Direction(from-n, to-n)}
+		return []*emulator.Direction{r.peerNetwork.Direction(from-n, to-n)}
 	}
 	return nil // two nodes below control machines
 }
 
-func mode(on bool, m emulator.Mode) emulator.Mode {
+func modeIf(on bool, mode emulator.Mode) emulator.Mode {
 	if on {
-		return m
+		return mode
 	}
 	return emulator.Pass
 }
 
 // fault switches something on for a while, and counts what met it.
-func (r *rig) fault(at int, ways []*emulator.Direction, set func(w *emulator.Direction, on bool), lasts time.Duration) {
-	met := func() (n int) {
-		for _, w := range ways {
+func (r *run) switchFault(index int, directions []*emulator.Direction, set func(w *emulator.Direction, on bool), duration time.Duration) {
+	countAffected := func() (n int) {
+		for _, w := range directions {
 			n += int(w.RandomFaults.Load() + w.Delayed.Load())
 			for i := range w.Affected {
 				n += int(w.Affected[i].Load())
@@ -319,124 +319,124 @@
 		}
 		return n
 	}
-	before := met()
-	for _, w := range ways {
+	affectedBefore := countAffected()
+	for _, w := range directions {
 		set(w, true)
 	}
-	r.sleep(lasts)
-	r.acted(at, met()-before)
-	for _, w := range ways {
+	r.sleep(duration)
+	r.recordEffect(index, countAffected()-affectedBefore)
+	for _, w := range directions {
 		set(w, false)
 	}
 }
 
-func (r *rig) link(at int, e Event, lasts time.Duration) {
-	var ways []*emulator.Direction
-	nodes := r.chosen(e)
+func (r *run) injectLinkFault(index int, e Event, duration time.Duration) {
+	var directions []*emulator.Direction
+	nodes := r.selectNodes(e)
 	for _, n := range nodes {
 		for _, to := range []bool{true, false} {
 			if to && e.Direction == "from" || !to && e.Direction == "to" {
 				continue
 			}
 			if e.Link != "peers" && e.Link != "children" {
-				ways = append(ways, r.way(e.Link, n.index, to))
+				directions = append(directions, r.direction(e.Link, n.index, to))
 				continue
 			}
 			for other := range r.nodes {
-				if other == n.index || e.Link == "children" != r.generations(other, n.index) {
+				if other == n.index || e.Link == "children" != r.isParentAndChild(other, n.index) {
 					continue
 				} else if to {
-					ways = append(ways, r.wordWay(other, n.index)...)
+					directions = append(directions, r.datagramDirections(other, n.index)...)
 				} else {
-					ways = append(ways, r.wordWay(n.index, other)...)
+					directions = append(directions, r.datagramDirections(n.index, other)...)
 				}
 			}
 		}
 		if e.Link == "clients" { // trouble at servers frees no request of its answer
-			r.disturb(n, true)
+			r.setDisturbed(n, true)
 		}
 	}
-	begun := time.Now()
-	r.fault(at, ways, func(w *emulator.Direction, on bool) {
-		if w.Set(mode(on, modes[e.Mode]), time.Duration(e.Delay)); !on {
+	startedAt := time.Now()
+	r.switchFault(index, directions, func(w *emulator.Direction, on bool) {
+		if w.Set(modeIf(on, linkModes[e.Mode]), time.Duration(e.Delay)); !on {
 			w.Set(emulator.Pass, 0)
 			w.SetRandomFaults(0, 0, 0)
 		} else {
 			w.SetRandomFaults(e.Loss, e.Duplicate, e.Reorder)
 		}
-	}, lasts)
-	if holds := e.Mode == "drop" || e.Mode == "stall" || e.Delay > 0; holds && e.Link == "servers" { // a server whose answer is held back reads no end either
+	}, duration)
+	if isDelaying := e.Mode == "drop" || e.Mode == "stall" || e.Delay > 0; isDelaying && e.Link == "servers" { // a server whose answer is held back reads no end either
 		for _, n := range nodes {
-			r.ref.ServerLinksImpaired(n.index, begun, time.Now().Add(time.Duration(e.Delay)))
+			r.checker.ServerLinksImpaired(n.index, startedAt, time.Now().Add(time.Duration(e.Delay)))
 		}
 	}
 	if e.Link == "clients" {
 		time.Sleep(100 * time.Millisecond)
 		for _, n := range nodes {
-			r.disturb(n, false)
+			r.setDisturbed(n, false)
 		}
 	}
 }
 
 // restart ends a node's process, at once or in order, and starts it anew with nothing remembered after a while.
-func (r *rig) restart(at int, e Event, n *node) {
-	p := r.process(n)
+func (r *run) restart(index int, e Event, n *node) {
+	p := r.currentProcess(n)
 	if e.AwaitReady {
 		select {
 		case <-p.Ready:
 		case <-p.Exited:
-		case <-r.over:
-		case <-time.After(readyWithin):
+		case <-r.ended:
+		case <-time.After(readyTimeout):
 		}
 	}
-	r.disturb(n, true)
+	r.setDisturbed(n, true)
 	if e.Kind == "kill" {
 		if p.Kill() {
-			r.acted(at, 1)
+			r.recordEffect(index, 1)
 		}
 	} else {
 		if r.stopProcess(n, p) {
-			r.acted(at, 1)
+			r.recordEffect(index, 1)
 		}
 	}
 	if r.sleep(time.Duration(e.Duration)) {
-		r.startNode(at, n, time.Duration(e.ClockOffset), false)
+		r.startNode(index, n, time.Duration(e.ClockOffset), false)
 	}
-	r.disturb(n, false)
+	r.setDisturbed(n, false)
 }
 
 // some gives the servers that an event is about: of those that are up.
-func (r *rig) some(e Event) (found []*emulator.Server) {
+func (r *run) selectServers(e Event) (selected []*emulator.Server) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var up []*emulator.Server
+	var upServers []*emulator.Server
 	for _, s := range r.servers {
 		if !s.Leaving() {
-			up = append(up, s)
+			upServers = append(upServers, s)
 		}
 	}
-	for _, i := range r.rng.Perm(len(up))[:part(len(up), e.Fraction)] {
-		found = append(found, up[i])
+	for _, i := range r.rng.Perm(len(upServers))[:countOf(len(upServers), e.Fraction)] {
+		selected = append(selected, upServers[i])
 	}
-	return found
+	return selected
 }
 
 // replace starts new servers, and has old ones drain and go.
-func (r *rig) replace(at int, e Event) {
-	old := r.some(e)
-	r.inTurn(e, len(old), func(i int) {
+func (r *run) replaceServers(index int, e Event) {
+	old := r.selectServers(e)
+	r.stagger(e, len(old), func(i int) {
 		if err := r.newServer(time.Now().Truncate(time.Millisecond)); err != nil {
 			r.fail("a server does not start: %v", err)
 			return
 		}
-		if !r.sleep(time.Duration(r.s.ListService.PropagationDelay) + 50*time.Millisecond) {
+		if !r.sleep(time.Duration(r.scenario.ListService.PropagationDelay) + 50*time.Millisecond) {
 			return
 		}
-		r.leave(old[i], "draining")
+		r.reportLeaving(old[i], "draining")
 		old[i].Drain()
-		r.acted(at, 1)
+		r.recordEffect(index, 1)
 		if r.sleep(time.Duration(e.Duration)) {
-			r.leave(old[i], "removed")
+			r.reportLeaving(old[i], "removed")
 			old[i].Stop()
 		}
 	})
