--- a/lab/rig/client.go
+++ b/lab/rig/client.go
@@ -17,21 +17,22 @@
 	"brassmux/lab/emulator"
 )
 
-// client wants one connection to stand for its life, and comes again when it is refused or cut off.
+// client wants to be connected until wantedUntil. It reconnects after a rejection or a lost connection.
 type client struct {
 	run         *run
 	key         string
 	wantedUntil time.Time
 
-	customer    string // "" where it is its own
+	customer    string // "" if the client is its own customer
 	idempotency checker.Idempotency
 
 	mu        sync.Mutex
-	requestID string // of its last request
+	requestID string // of the last request
 	connected bool
 	finished  bool
 }
 
+// state reports whether the client is connected, and whether it wants to be.
 func (c *client) state() (connected, wanted bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -47,8 +48,8 @@
 	c.mu.Unlock()
 }
 
-// arrivals has clients come: the standing ones within two seconds, the others open loop, each at its own moment whatever
-// became of those before.
+// startClients starts the initial clients within two seconds, and new clients until the run ends. The load is open
+// loop: arrivals do not depend on the progress of earlier clients.
 func (r *run) startClients() {
 	for i := range r.scenario.Clients.Initial {
 		r.tasks.Go(func() {
@@ -72,6 +73,7 @@
 	}
 }
 
+// runClient plays a client until its wanted time or the run ends.
 func (r *run) runClient(key string) {
 	r.mu.Lock()
 	duration := time.Duration(r.rng.ExpFloat64() * float64(r.scenario.Clients.MeanDuration))
@@ -92,17 +94,19 @@
 	for reconnects := 0; time.Now().Before(c.wantedUntil); reconnects++ {
 		retryAfter, finished := c.connect(reconnects)
 		c.setConnected(false)
-		if finished || !r.sleep(max(retryAfter, r.randomDuration(r.scenario.Clients.ReconnectDelay[0], r.scenario.Clients.ReconnectDelay[1]))) {
+		if finished || !r.sleep(max(retryAfter,
+			r.randomDuration(r.scenario.Clients.ReconnectDelay[0], r.scenario.Clients.ReconnectDelay[1]))) {
 			return
 		}
 	}
 }
 
-// front picks a node that takes clients, as the front does: by its weight.
+// pickNode returns a random node that accepts clients, by weight as a front-end load balancer does, and its address.
+// The node is nil if there is none.
 func (r *run) pickNode() (*node, string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	nodes := r.nodes[:r.scenario.Nodes] // nobody is sent to a control machine
+	nodes := r.nodes[:r.scenario.Nodes] // control machines accept no clients
 	busyNodes := max(len(nodes)/10, 1)
 	weight := func(i int) float64 {
 		if i < busyNodes && r.scenario.Clients.BusyNodeWeight > 1 {
@@ -137,7 +141,8 @@
 	return nil, ""
 }
 
-// connect asks once. It gives how long the client was told to wait, and whether its life has ended.
+// connect sends one request and holds the connection if it is accepted. It returns the delay that the node requested,
+// and whether the client's wanted time is over.
 func (c *client) connect(reconnects int) (retryAfter time.Duration, finished bool) {
 	r := c.run
 	n, addr := r.pickNode()
@@ -150,7 +155,8 @@
 		r.count("node not there")
 		return 0, false
 	}
-	conn := emulator.Wrap(tcpConn.(*net.TCPConn), r.direction("clients", n.index, false), r.direction("clients", n.index, true))
+	conn := emulator.Wrap(tcpConn.(*net.TCPConn), r.direction("clients", n.index, false),
+		r.direction("clients", n.index, true))
 	defer conn.Close()
 	stop := make(chan struct{})
 	defer close(stop)
@@ -179,7 +185,7 @@
 	answer, err := reader.ReadString('\n')
 	receivedAt := time.Now()
 	if err != nil {
-		if errors.Is(err, net.ErrClosed) { // the day is over, and talk has closed it
+		if errors.Is(err, net.ErrClosed) { // sendTraffic closed it at the end of the run
 			r.checker.ClientLeft(id, receivedAt)
 		} else if !strings.Contains(err.Error(), "timeout") {
 			r.checker.ConnectionClosed(id, receivedAt)
@@ -201,14 +207,15 @@
 	default:
 		r.count("failed")
 	}
-	conn.SetReadDeadline(time.Now().Add(200 * time.Millisecond)) // nothing comes after the final answer
+	conn.SetReadDeadline(time.Now().Add(200 * time.Millisecond)) // nothing may follow the final answer
 	if extra, _ := reader.ReadString('\n'); extra != "" {
 		r.checker.AnswerReceived(id, time.Now())
 	}
 	return retryAfter, false
 }
 
-// talk sends a line every two seconds while the connection stands, and ends it with the day, whatever its link does.
+// sendTraffic sends a line every two seconds while the client is connected. It closes the connection when the run ends,
+// also if its link is impaired.
 func (c *client) sendTraffic(conn net.Conn, stop <-chan struct{}) {
 	for {
 		select {
@@ -219,13 +226,14 @@
 			return
 		case <-time.After(2 * time.Second):
 			if connected, _ := c.state(); connected {
-				go io.WriteString(conn, "m\r\n") // a link that stalls holds it
+				go io.WriteString(conn, "m\r\n") // in a goroutine, as a stalled link blocks it
 			}
 		}
 	}
 }
 
-// relieved notes a client that a node moved for no other reason than the server's relief.
+// recordRebalance counts a client that a node moved to rebalance its server. Moves from a node with an injected fault
+// or off a server that is leaving have other reasons and are not counted.
 func (r *run) recordRebalance(n *node, id string) {
 	r.mu.Lock()
 	undisturbed, server := n.disturbedSince.IsZero(), r.checker.LastServer(id)
@@ -240,7 +248,8 @@
 	}
 }
 
-// stand holds a connection until the client's life ends or the other side ends it.
+// holdConnection holds a connection until the client's wanted time is over or the node ends it. It reports whether the
+// wanted time is over.
 func (c *client) holdConnection(n *node, conn net.Conn, reader *bufio.Reader, id string) (finished bool) {
 	conn.SetReadDeadline(c.wantedUntil)
 	for {
@@ -265,7 +274,7 @@
 	}
 }
 
-// part is how many of count a part is, one at the least.
+// countOf returns a fraction of count, rounded, and at least 1.
 func countOf(count int, fraction float64) int {
 	return max(int(math.Round(float64(count)*fraction)), 1)
 }
--- a/lab/rig/nodes.go
+++ b/lab/rig/nodes.go
@@ -16,19 +16,22 @@
 	"brassmux/lab/shim"
 )
 
-// node is a place among the nodes, through the starts of its processes.
+// node is a node or a control machine. It has one process at a time, two during an upgrade or with a duplicate.
 type node struct {
-	index                int
-	current              *process.Process
-	duplicate            *process.Process // under the same name
-	listPendingSince     time.Time        // this start, until it had word of the list
-	recoveryPendingSince time.Time        // when the list service was back, until it had word of it
-	disturbedSince       time.Time        // since when the rig does something to it; the zero time for not
-	shim                 *shim.Shim       // under its process; nil where there is none
-	usesAlternateList    bool             // its process asks the list service's other address
-	listenSocket         *os.File         // on which its processes listen, one after the other; nil where each has its own
-	listenAddr           string           // that socket's
-	handoverDir          string           // where two of them meet in an upgrade
+	index     int
+	current   *process.Process
+	duplicate *process.Process // a second process with the same name
+	// listPendingSince is when the current process started, until the list service notifies it; then zero.
+	listPendingSince time.Time
+	// recoveryPendingSince is when the list service was reachable again, until it notifies the node; then zero.
+	recoveryPendingSince time.Time
+	disturbedSince       time.Time  // start of an injected fault; zero without one
+	shim                 *shim.Shim // of the current process; nil without one
+	usesAlternateList    bool       // the process calls the list service at its alternate address
+	// listenSocket is inherited by the node's processes in turn; nil if each process opens its own.
+	listenSocket *os.File
+	listenAddr   string // of listenSocket
+	handoverDir  string // where two processes meet during an upgrade
 }
 
 // listen opens the socket that a node's processes inherit.
@@ -37,16 +40,16 @@
 	if err != nil {
 		return err
 	}
-	defer listener.Close() // the file is a copy
+	defer listener.Close() // File duplicates the descriptor
 	n.listenAddr = listener.Addr().String()
 	if n.listenSocket, err = listener.File(); err != nil {
 		return err
 	}
-	n.handoverDir, err = os.MkdirTemp("", "n") // a socket's name must be short
+	n.handoverDir, err = os.MkdirTemp("", "n") // short, as the length of a socket's path is limited
 	return err
 }
 
-// close gives up what listen took.
+// close releases the socket and the directory of listen.
 func (n *node) close() {
 	if n.listenSocket != nil {
 		n.listenSocket.Close()
@@ -54,17 +57,18 @@
 	}
 }
 
-// inherits has a command that was not started yet inherit the node's socket.
+// inheritSocket makes a command that has not started yet inherit the node's socket.
 func (n *node) inheritSocket(cmd *exec.Cmd) {
 	const firstExtraFD = 3
 	if n.listenSocket != nil {
-		cmd.Env = append(cmd.Env, fmt.Sprintf("LB_LISTEN_FD=%d", firstExtraFD+len(cmd.ExtraFiles)), "TMPDIR="+n.handoverDir)
+		cmd.Env = append(cmd.Env, fmt.Sprintf("LB_LISTEN_FD=%d", firstExtraFD+len(cmd.ExtraFiles)),
+			"TMPDIR="+n.handoverDir)
 		cmd.ExtraFiles = append(cmd.ExtraFiles, n.listenSocket)
 	}
 }
 
-// under gives what is put under a process of a node that is started now, nil where the scenario wants nothing, and how its command is
-// prepared. The process is started under the wall clock that the node's machine has now.
+// newShim returns the shim for a process of a node that is about to start, nil if the scenario uses none, and the
+// function that prepares its command. The shim starts with the current clock offset of the node.
 func (r *run) newShim(n *node, event int) (*shim.Shim, func(*exec.Cmd), error) {
 	if r.shimLibrary == nil {
 		return nil, n.inheritSocket, nil
@@ -84,6 +88,7 @@
 	}, nil
 }
 
+// nodeConfig returns the configuration of a node's process.
 func (r *run) nodeConfig(n *node, clockOffset time.Duration) map[string]any {
 	server := r.scenario.Server
 	version, servers := r.listService.Snapshot(n.index)
@@ -100,16 +105,20 @@
 	seed := fmt.Sprintf("%016x", r.rng.Uint64())
 	r.mu.Unlock()
 	microseconds := func(duration Duration) int64 { return time.Duration(duration).Microseconds() }
-	cfg := map[string]any{"name": fmt.Sprintf("n%d", n.index), "listen": "127.0.0.1:0", "discovery": r.listService.Addr(), "seed": seed, "source": emulator.SourceAddr(n.index).String(),
+	cfg := map[string]any{"name": fmt.Sprintf("n%d", n.index), "listen": "127.0.0.1:0",
+		"discovery": r.listService.Addr(), "seed": seed, "source": emulator.SourceAddr(n.index).String(),
 		"limits": map[string]any{"cores": 1, "sockets": 4096},
 		"known":  map[string]any{"version": version, "full": true, "servers": upServers},
-		"settings": map[string]any{"balancers": max(r.scenario.Nodes, r.scenario.FleetSize), "index": n.index, "tick_us": 5000, "membership_mode": "on_request",
-			"ceilings": map[string]any{"dial_timeout_us": 200000, "keepalive_us": 5000000, "max_open": 2000, "max_retry_after_us": 1000000,
-				"may_probe": true, "retry_after": true, "send_cap": 3, "peers": r.scenario.Quotas.Leased},
-			"classes":     r.classConfigs(),
-			"family_info": map[string]any{"message_aim_us": []float64{300000}, "tenant_quota_connections": []float64{r.expectedConnections()}},
-			"report":      map[string]any{"fields": []string{"x0"}, "via": "probe"},
-			"rules": map[string]any{"cold_from": server.SlowStartMinCapacity, "cold_us": microseconds(server.SlowStartDuration), "fall_multiple": server.OverloadFactor,
+		"settings": map[string]any{"balancers": max(r.scenario.Nodes, r.scenario.FleetSize), "index": n.index,
+			"tick_us": 5000, "membership_mode": "on_request",
+			"ceilings": map[string]any{"dial_timeout_us": 200000, "keepalive_us": 5000000, "max_open": 2000,
+				"max_retry_after_us": 1000000, "may_probe": true, "retry_after": true, "send_cap": 3, "peers": r.scenario.Quotas.Leased},
+			"classes": r.classConfigs(),
+			"family_info": map[string]any{"message_aim_us": []float64{300000},
+				"tenant_quota_connections": []float64{r.expectedConnections()}},
+			"report": map[string]any{"fields": []string{"x0"}, "via": "probe"},
+			"rules": map[string]any{"cold_from": server.SlowStartMinCapacity,
+				"cold_us": microseconds(server.SlowStartDuration), "fall_multiple": server.OverloadFactor,
 				"fall_us": microseconds(server.OverloadWindow)}}}
 	if n.listenSocket != nil {
 		cfg["listen"] = n.listenAddr
@@ -128,7 +137,7 @@
 	return cfg
 }
 
-// peers are the ways between the processes as one of them is told.
+// peerConfig returns the addresses over which a process exchanges leases with the others.
 func (r *run) peerConfig(index int) map[string]any {
 	scenario, peers, addrs := r.scenario, map[string]any{"listen": "127.0.0.1:0"}, []string{}
 	if scenario.ControlMachines > 0 && index < scenario.Nodes {
@@ -148,7 +157,8 @@
 	return peers
 }
 
-// classes are those of the nodes' settings: one of each effect, of which the first is named like the servers' stand-ins know it.
+// classConfigs returns the classes in the nodes' settings, one for each kind of idempotency. The stand-in servers know
+// the first one by its name.
 func (r *run) classConfigs() (configs []any) {
 	deadline := time.Duration(r.scenario.Clients.Deadline).Microseconds()
 	return append(configs,
@@ -158,11 +168,11 @@
 			"window_us": idempotencyWindow.Microseconds(), "deadline_us": deadline})
 }
 
-// dayStart stands for the event of the day's start.
+// runStart is the event index of the processes that start with the run.
 const runStart = -1
 
-// startNode starts a process of a node, as an event has it, and returns once it serves. Its known list is the service's as it is, so what it is
-// told thereby counts as told.
+// startNode starts a process of a node on behalf of an event and returns once it listens; nil if it cannot be started.
+// Its configuration has the current list, so the starts of servers in it are reported to the checker.
 func (r *run) startNode(event int, n *node, clockOffset time.Duration, isDuplicate bool) *process.Process {
 	if !isDuplicate {
 		r.checker.NodeRestarted(n.index)
@@ -221,7 +231,7 @@
 	select {
 	case <-p.Listening:
 	case <-p.Exited:
-		if !p.StopRequested() { // else another event met it as it started
+		if !p.StopRequested() { // by another event during its start
 			r.fail("node %d ended at its start: %s", n.index, p.LogExcerpt(""))
 		}
 	case <-time.After(30 * time.Second):
@@ -230,7 +240,7 @@
 	return p
 }
 
-// disturb notes that the rig does something to a node from now on, or no more.
+// setDisturbed records that a fault at a node begins or ends, and reports its interval to the checker at the end.
 func (r *run) setDisturbed(n *node, disturbed bool) {
 	r.mu.Lock()
 	since := n.disturbedSince
@@ -251,6 +261,7 @@
 	return n.current
 }
 
+// killAll kills all processes that are still running and waits for their end.
 func (r *run) killAll() {
 	r.mu.Lock()
 	processes := slices.Clone(r.processes)
