--- a/lab/rig/odd.go
+++ b/lab/rig/odd.go
@@ -14,10 +14,12 @@
 	"brassmux/lab/emulator"
 )
 
-// oddHeld is how long a node may hold a client that says no request: what it is owed, and the rig's slack.
+// maxIdleHold is how long a node may keep a client without a request: the 3 s that the client may use, and the slack of
+// the harness.
 const maxIdleHold = 3*time.Second + 300*time.Millisecond
 
-// oddClients are clients that misbehave, each in a way of its own. They come once.
+// misbehaviors are the kinds of misbehaving clients, which connect once. The names are part of the keys of
+// Result.Totals.
 var misbehaviors = []struct {
 	name string
 	run  func(c *misbehavingClient)
@@ -34,7 +36,7 @@
 	{"floods and leaves", (*misbehavingClient).flood},
 }
 
-// oddClient is one that misbehaves.
+// misbehavingClient is a client that does not follow the protocol, or ends its connection early.
 type misbehavingClient struct {
 	run       *run
 	node      *node
@@ -42,10 +44,12 @@
 	reader    *bufio.Reader
 	requestID string
 
-	requestSent, outcomeReported bool // its request is whole; it has heard its answer, or that there is none
+	// requestSent is set when the complete request was reported to the checker, outcomeReported when its answer was, or
+	// that there is none.
+	requestSent, outcomeReported bool
 }
 
-// odd has one misbehave.
+// runMisbehavingClient plays one client with a random misbehavior.
 func (r *run) runMisbehavingClient(number int) {
 	n, addr := r.pickNode()
 	if n == nil {
@@ -60,38 +64,42 @@
 	defer conn.Close()
 	misbehavior := misbehaviors[r.randomIndex(len(misbehaviors))]
 	r.count("odd clients: " + misbehavior.name)
-	c := &misbehavingClient{run: r, node: n, conn: conn, reader: bufio.NewReader(conn), requestID: fmt.Sprintf("o%d-%d", r.options.Seed, number)}
+	c := &misbehavingClient{run: r, node: n, conn: conn, reader: bufio.NewReader(conn),
+		requestID: fmt.Sprintf("o%d-%d", r.options.Seed, number)}
 	misbehavior.run(c)
-	if c.requestSent && !c.outcomeReported { // the day's end cuts it short
+	if c.requestSent && !c.outcomeReported { // interrupted by the end of the run
 		r.checker.ClientLeft(c.requestID, time.Now())
 	}
 }
 
+// send writes text and reports whether it could.
 func (c *misbehavingClient) send(text string) bool {
 	_, err := io.WriteString(c.conn, text)
 	return err == nil
 }
 
-// line is its request, whose time is told in it.
+// requestLine returns the request line, which has the deadline.
 func (c *misbehavingClient) requestLine(deadline time.Duration) string {
-	return fmt.Sprintf("OPEN %s key-%s c=%s,d=%d\r\n", c.requestID, c.requestID, className(checker.Idempotent), deadline.Milliseconds())
+	return fmt.Sprintf("OPEN %s key-%s c=%s,d=%d\r\n", c.requestID, c.requestID, className(checker.Idempotent),
+		deadline.Milliseconds())
 }
 
-// ask sends its request whole.
+// sendRequest sends the complete request and reports whether it could.
 func (c *misbehavingClient) sendRequest() bool {
 	deadline := time.Duration(c.run.scenario.Clients.Deadline)
 	c.reportRequest(deadline)
 	return c.send(c.requestLine(deadline))
 }
 
-// asks tells the checker that the last byte of its request goes out now.
+// reportRequest reports to the checker that the last byte of the request is sent now.
 func (c *misbehavingClient) reportRequest(deadline time.Duration) {
 	now := time.Now()
 	c.run.checker.RequestSent(c.requestID, c.node.index, c.requestID, checker.Idempotent, now, now.Add(deadline))
 	c.requestSent = true
 }
 
-// answer waits for the final answer and tells the checker.
+// awaitAnswer waits for the final answer, reports the outcome to the checker and returns the status of the answer, ""
+// without one.
 func (c *misbehavingClient) awaitAnswer() (status string) {
 	c.conn.SetReadDeadline(time.Now().Add(time.Duration(c.run.scenario.Clients.Deadline) + 2*time.Second))
 	line, err := c.reader.ReadString('\n')
@@ -108,12 +116,12 @@
 	return status
 }
 
-// wait is a while within which an answer may come or not; the day's end cuts it short.
+// pause waits for a random time, within which an answer may or may not arrive, or until the run ends.
 func (c *misbehavingClient) pause() {
 	c.run.sleep(c.run.randomDuration(0, c.run.scenario.Clients.Deadline/2))
 }
 
-// goes tells the checker that it leaves, unless its answer has come.
+// reportDeparture reports to the checker that the client leaves, or its answer if that has arrived.
 func (c *misbehavingClient) reportDeparture() {
 	c.outcomeReported = true
 	c.conn.SetReadDeadline(time.Now().Add(time.Millisecond))
@@ -149,7 +157,8 @@
 	}
 }
 
-// stays says something that is no request, and waits to be sent away.
+// awaitDisconnect sends a text that is not a complete request and waits for the node to disconnect. A node that does
+// not within maxIdleHold is reported to the checker.
 func (c *misbehavingClient) awaitDisconnect(text string) {
 	startedAt := time.Now()
 	if !c.send(text) {
@@ -167,7 +176,7 @@
 	}
 }
 
-// asksAfterARest sends its request about when the node ends a connection that rests.
+// requestAfterIdle sends the request at about the time at which the node closes an idle connection.
 func (c *misbehavingClient) requestAfterIdle() {
 	if !c.send("PING\r\n") {
 		return
@@ -181,14 +190,14 @@
 	}
 	c.conn.SetReadDeadline(time.Now().Add(time.Millisecond))
 	if _, err := c.reader.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
-		return // it has been sent away already
+		return // already disconnected
 	}
 	if c.sendRequest() {
 		c.awaitAnswer()
 	}
 }
 
-// writesAhead does not wait for its answer before it goes on.
+// writeBeforeAnswer sends more lines before the answer has arrived.
 func (c *misbehavingClient) writeBeforeAnswer() {
 	if !c.sendRequest() {
 		return
@@ -203,7 +212,7 @@
 	}
 }
 
-// writesInPieces takes a while for its request; its time counts from the last byte.
+// requestInPieces sends the request slowly, a few bytes at a time. Its deadline counts from the last byte.
 func (c *misbehavingClient) requestInPieces() {
 	deadline := time.Duration(c.run.scenario.Clients.Deadline)
 	line := c.requestLine(deadline)
@@ -221,7 +230,7 @@
 	c.awaitAnswer()
 }
 
-// floods sends much that nobody asked for, and goes.
+// flood sends many lines that are not requests and leaves.
 func (c *misbehavingClient) flood() {
 	c.conn.SetWriteDeadline(time.Now().Add(time.Second))
 	for range 50 {
@@ -231,25 +240,26 @@
 	}
 }
 
-// odds has clients come that misbehave.
+// startMisbehavingClients starts misbehaving clients at random intervals until the run ends.
 func (r *run) startMisbehavingClients() {
 	if r.scenario.Clients.MisbehavingPerSecond <= 0 {
 		return
 	}
-	for number := 0; r.sleep(r.randomDuration(0, Duration(2/r.scenario.Clients.MisbehavingPerSecond*float64(time.Second)))); number++ {
+	for number := 0; r.sleep(r.randomDuration(0,
+		Duration(2/r.scenario.Clients.MisbehavingPerSecond*float64(time.Second)))); number++ {
 		r.tasks.Go(func() { r.runMisbehavingClient(number) })
 	}
 }
 
-// className is that of the class of an effect in the nodes' settings.
+// className returns the name, in the nodes' settings, of the class of requests with an idempotency.
 func className(idempotency checker.Idempotency) string {
 	return [...]string{"c", "k", "u"}[idempotency]
 }
 
-// keyedWindow is how long servers drop repeats of a keyed request.
+// idempotencyWindow is how long servers drop repetitions of a keyed request.
 const idempotencyWindow = 800 * time.Millisecond
 
-// effect draws that of a new client's requests.
+// drawIdempotency returns a random idempotency for the requests of a new client.
 func (r *run) drawIdempotency() checker.Idempotency {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/lab/rig/ready.go
+++ b/lab/rig/ready.go
@@ -12,10 +12,12 @@
 	"brassmux/lab/process"
 )
 
-// readyWithin is the time in which a process is to be ready after its start. The day goes on for as long while one is not.
+// readyTimeout is the time in which a process must be ready after its start. The run is extended by up to this time
+// while a process is not ready.
 const readyTimeout = 10 * time.Second
 
-// awaitReady asks a process that an event has started whether it is ready, past all faults, until it is, has ended or the day has.
+// awaitReady polls a process that an event started until it is ready, it exits or the run ends, and records the startup
+// time. It connects to the process directly, so injected link faults do not affect it.
 func (r *run) awaitReady(event int, started *process.Process, startedAt time.Time) {
 	const pollInterval = 5 * time.Millisecond
 	ready := false
@@ -45,9 +47,10 @@
 	}
 }
 
-// allReady waits until no process is on its way to be ready, or all have had the time for it.
+// awaitAllReady waits until every started process is ready or has exited, or until readyTimeout is over.
 func (r *run) awaitAllReady() {
-	for deadline := time.Now().Add(readyTimeout + 100*time.Millisecond); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(readyTimeout + 100*time.Millisecond); time.Now().Before(deadline); time.Sleep(
+		5 * time.Millisecond) {
 		r.mu.Lock()
 		starting := r.startingCount
 		r.mu.Unlock()
@@ -57,7 +60,7 @@
 	}
 }
 
-// ping tells whether a node says that it is ready.
+// isReady reports whether a node answers PING with PONG, which it does once it is ready.
 func isReady(addr string) bool {
 	const timeout = time.Second
 	conn, err := net.DialTimeout("tcp", addr, timeout)
@@ -73,7 +76,7 @@
 	return strings.TrimSpace(line) == "PONG"
 }
 
-// readies sums up how long starts took, by event.
+// startupTimes returns the distribution of the startup times by event.
 func (r *run) startupTimes() (times []StartupTimes) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -86,7 +89,9 @@
 	}
 	for _, event := range slices.Sorted(maps.Keys(events)) {
 		durations, neverReady := r.readyDurations[event], r.unreadyCounts[event]
-		times = append(times, StartupTimes{Event: event, Starts: len(durations) + neverReady, Median: percentile(durations, 0.5), P90: percentile(durations, 0.9), Max: percentile(durations, 1), NeverReady: neverReady})
+		times = append(times, StartupTimes{Event: event, Starts: len(durations) + neverReady,
+			Median: percentile(durations, 0.5), P90: percentile(durations, 0.9), Max: percentile(durations, 1),
+			NeverReady: neverReady})
 	}
 	return times
 }
--- a/lab/rig/result.go
+++ b/lab/rig/result.go
@@ -80,8 +80,9 @@
 	MaxBytesPerSecond float64 `json:"busiest_bytes"` // by one process
 }
 
+// maxPerSecond returns the highest number of times within any second.
 func maxPerSecond(times []time.Time) (highest int) {
-	times = slices.SortedFunc(slices.Values(times), time.Time.Compare) // others may still append to the slice
+	times = slices.SortedFunc(slices.Values(times), time.Time.Compare) // a copy, as the slice may still be appended to
 	first := 0
 	for i, t := range times {
 		for t.Sub(times[first]) >= time.Second {
@@ -92,9 +93,10 @@
 	return highest
 }
 
-// lists sums up waits for the list, and those that have not ended.
+// listDelays returns the distribution of the waits for a notification by the list service. Since returns the start of a
+// node's wait that has not ended, or zero.
 func (r *run) listDelays(waits []time.Duration, since func(n *node) time.Time) ListDelays {
-	r.mu.Lock() // the list service still serves
+	r.mu.Lock() // the list service still runs and calls onNotification
 	defer r.mu.Unlock()
 	waits = slices.Clone(waits)
 	delays := ListDelays{Starts: len(waits)}
@@ -107,7 +109,8 @@
 	return delays
 }
 
-// within gives the seconds within which a part of them was over; 0 where there are none.
+// percentile sorts durations and returns the smallest, in seconds, that is not exceeded by a fraction of them; 0 if
+// there are none.
 func percentile(durations []time.Duration, fraction float64) float64 {
 	if len(durations) == 0 {
 		return 0
@@ -116,8 +119,9 @@
 	return math.Round(durations[max(int(math.Ceil(fraction*float64(len(durations)))), 1)-1].Seconds()*1000) / 1000
 }
 
+// collectResult reads the counters of all processes, checks the history and returns the result of the run.
 func (r *run) collectResult() *Result {
-	for _, n := range r.nodes { // counters are told on request
+	for _, n := range r.nodes { // a process writes its counters on SIGUSR1
 		if p := r.currentProcess(n); p != nil {
 			r.setDisturbed(n, false)
 			p.Signal(syscall.SIGCONT)
@@ -141,11 +145,12 @@
 		}
 	}
 	delete(r.counters, "ts")
-	r.mu.Lock() // the stand-ins still serve, and count what they do
+	r.mu.Lock() // the stand-ins still run and count
 	totals, effects, peaks := maps.Clone(r.totals), slices.Clone(r.effects), maps.Clone(r.peakTimes)
 	listWaits, recoveryWaits := r.listWaits, r.recoveryWaits
 	r.mu.Unlock()
-	result := &Result{Scenario: r.scenario.Name, Seed: r.options.Seed, Nodes: r.scenario.Nodes, Totals: totals, EventEffects: effects, Counters: r.counters}
+	result := &Result{Scenario: r.scenario.Name, Seed: r.options.Seed, Nodes: r.scenario.Nodes, Totals: totals,
+		EventEffects: effects, Counters: r.counters}
 	result.Violations, result.History = r.checker.Check(time.Now())
 	for _, p := range r.processes {
 		if crash := p.Crash(); crash != "" {
@@ -153,16 +158,17 @@
 			result.History = append(result.History, fmt.Sprintf("node %d crashed:\n%s", p.Node, crash))
 		}
 	}
-	for name, count := range r.counters { // what the program itself held back
+	for name, count := range r.counters { // violations that the program's own invariants prevented
 		if strings.HasPrefix(name, "rule_") && count > 0 {
 			result.Violations.Asserted += int(count)
-			result.History = append(result.History, fmt.Sprintf("%s: %.0f by the nodes' own count", name, count))
+			result.History = append(result.History, fmt.Sprintf("%s: %.0f violations counted by the nodes", name, count))
 		}
 	}
 	result.Totals["answered in time"], result.Totals["excused"] = r.checker.Answered, r.checker.Excused
 	result.Totals["attempts at cold servers"], result.Totals["further attempts"] = r.checker.SlowStartSends, r.checker.Retries
 	result.SlowStartUtilization = math.Round(r.checker.SlowStartUtilization*1000) / 1000
-	result.ListDelays, result.StartupTimes, result.Peaks = r.listDelays(listWaits, func(n *node) time.Time { return n.listPendingSince }), r.startupTimes(), map[string]int{}
+	result.ListDelays, result.StartupTimes, result.Peaks = r.listDelays(listWaits,
+		func(n *node) time.Time { return n.listPendingSince }), r.startupTimes(), map[string]int{}
 	result.ListRecovery = r.listDelays(recoveryWaits, func(n *node) time.Time { return n.recoveryPendingSince })
 	for name, times := range peaks {
 		kind, _, isPerServer := strings.Cut(name, " s-")
@@ -177,10 +183,10 @@
 	result.MaxLatenessMS = float64(r.maxLateness.Microseconds()) / 1000
 	if r.failure != "" {
 		result.InvalidReason = r.failure
-	} else if r.checker.Foreign > 0 { // guards against what two rigs side by side do to each other: ports that are free again are taken anew
-		result.InvalidReason = fmt.Sprintf("%d requests of another rig came", r.checker.Foreign)
+	} else if r.checker.Foreign > 0 { // another run at the same time has reused a port that one of our processes released
+		result.InvalidReason = fmt.Sprintf("%d requests of another run arrived", r.checker.Foreign)
 	} else if r.maxLateness > latenessLimit {
-		result.InvalidReason = fmt.Sprintf("the rig was %v late", r.maxLateness.Round(time.Millisecond))
+		result.InvalidReason = fmt.Sprintf("the harness was %v late", r.maxLateness.Round(time.Millisecond))
 	}
 	result.Seconds = r.seconds
 	served, wanted := 0.0, 0.0
@@ -193,7 +199,8 @@
 	seconds := time.Duration(r.scenario.Length).Seconds()
 	for i := range r.nodes {
 		datagrams, bytes := r.sentBy(i)
-		result.Datagrams.PerSecond, result.Datagrams.BytesPerSecond = result.Datagrams.PerSecond+float64(datagrams)/seconds, result.Datagrams.BytesPerSecond+float64(bytes)/seconds
+		result.Datagrams.PerSecond, result.Datagrams.BytesPerSecond =
+			result.Datagrams.PerSecond+float64(datagrams)/seconds, result.Datagrams.BytesPerSecond+float64(bytes)/seconds
 		result.Datagrams.MaxPerSecond = max(result.Datagrams.MaxPerSecond, float64(datagrams)/seconds)
 		result.Datagrams.MaxBytesPerSecond = max(result.Datagrams.MaxBytesPerSecond, float64(bytes)/seconds)
 	}
@@ -208,7 +215,7 @@
 	return result
 }
 
-// sent gives the words and bytes that a process sent to others.
+// sentBy returns the datagrams and bytes that a process has sent to the others.
 func (r *run) sentBy(index int) (datagrams, bytes int64) {
 	if r.scenario.ControlMachines == 0 {
 		return r.peerNetwork.SentBy(index)
@@ -221,5 +228,5 @@
 	return datagrams, bytes
 }
 
-// TotalNames gives the totals in order.
+// TotalNames returns the sorted names of the totals.
 func (r *Result) TotalNames() []string { return slices.Sorted(maps.Keys(r.Totals)) }
