--- a/lab/rig/nodes.go
+++ b/lab/rig/nodes.go
@@ -232,10 +232,10 @@
 	case <-p.Listening:
 	case <-p.Exited:
 		if !p.StopRequested() { // by another event during its start
-			r.fail("node %d ended at its start: %s", n.index, p.LogExcerpt(""))
+			r.fail("node %d exited during its start: %s", n.index, p.LogExcerpt(""))
 		}
 	case <-time.After(30 * time.Second):
-		r.fail("node %d does not serve within 30 s", n.index)
+		r.fail("node %d does not listen within 30 s", n.index)
 	}
 	return p
 }
--- a/lab/rig/rig.go
+++ b/lab/rig/rig.go
@@ -14,61 +14,66 @@
 	"brassmux/lab/shim"
 )
 
-// Options say how a scenario is played.
+// Options are the options of Run.
 type Options struct {
 	Seed   uint64
-	Binary string // of the program; "" for the one that runs
+	Binary string // path of the program; "" for this executable
 }
 
-// lateMost is how late the rig may be before its run says nothing: the checker has as much slack.
+// latenessLimit is the lateness of the harness beyond which a run is invalid. It equals the slack of the checker.
 const latenessLimit = 100 * time.Millisecond
 
-var linkModes = map[string]emulator.Mode{"drop": emulator.Drop, "stall": emulator.Stall, "reset": emulator.Reset, "cut": emulator.Cut}
+// linkModes are the modes of a link that impair it, by their names in a scenario.
+var linkModes = map[string]emulator.Mode{"drop": emulator.Drop, "stall": emulator.Stall, "reset": emulator.Reset,
+	"cut": emulator.Cut}
 
+// run is one run of a scenario.
 type run struct {
 	scenario          *Scenario
 	options           Options
 	starter           *process.Starter
-	shimLibrary       *shim.Library // nil where no process runs under a shim
+	shimLibrary       *shim.Library // nil without shims
 	listService       *emulator.ListService
-	alternateListAddr string                    // another address of the list service
-	peerNetwork       *emulator.DatagramNetwork // among the nodes, or among the control machines
-	childNetwork      *emulator.DatagramNetwork // nodes and control machines, by process number; nil without control machines
+	alternateListAddr string                    // second address of the list service
+	peerNetwork       *emulator.DatagramNetwork // between the nodes, or between the control machines
+	childNetwork      *emulator.DatagramNetwork // between nodes and control machines; nil without control machines
 	checker           *checker.Checker
 	startedAt         time.Time
-	ended             chan struct{} // closed when the day is
+	ended             chan struct{} // closed at the end of the run
 	links             map[linkKey]*emulator.Direction
 	tasks             sync.WaitGroup // clients and events
 
 	mu             sync.Mutex
 	rng            *rand.Rand
 	nodes          []*node
-	servers        []*emulator.Server // all that there were
-	serverCount    int                // of them
+	servers        []*emulator.Server // including those that have stopped
+	serverCount    int                // the number in the latest server ID
 	clients        []*client
 	totals         map[string]int
 	effects        []int
 	failure        string
 	maxLateness    time.Duration
 	seconds        []Second
-	listWaits      []time.Duration         // of starts, for the list
-	recoveryWaits  []time.Duration         // of nodes, for the list service that is back
-	listUpSince    time.Time               // since when the list service can be reached; the zero time while it is down
-	readyDurations map[int][]time.Duration // by event, of starts
-	unreadyCounts  map[int]int             // by event: starts that never were
-	startingCount  int                     // processes that are on their way to be ready
-	peakTimes      map[string][]time.Time  // what is counted by the second
+	listWaits      []time.Duration         // from the start of a process to its first notification
+	recoveryWaits  []time.Duration         // from the end of an outage of the list service to a notification
+	listUpSince    time.Time               // when the list service became reachable; zero while it is down
+	readyDurations map[int][]time.Duration // startup times by event
+	unreadyCounts  map[int]int             // processes that were never ready, by event
+	startingCount  int                     // processes that are started and not yet ready
+	peakTimes      map[string][]time.Time  // times at which something happened, by its name
 	counters       map[string]float64
 	processes      []*process.Process
 }
 
+// linkKey identifies one direction of all links of a kind at a node.
 type linkKey struct {
 	kind   string
 	node   int
-	toNode bool // the node
+	toNode bool
 }
 
-// Run plays a scenario.
+// Run runs a scenario and returns its result. A run that proves nothing is not an error: Result.InvalidReason tells
+// why.
 func Run(scenario *Scenario, options Options) (*Result, error) {
 	if options.Binary == "" {
 		executable, err := os.Executable()
@@ -77,12 +82,15 @@
 		}
 		options.Binary = executable
 	}
-	if err := process.RaiseDescriptorLimit((scenario.Nodes+scenario.ControlMachines)*(8+scenario.Servers) + 4*scenario.Clients.Initial + 500); err != nil {
+	if err := process.RaiseDescriptorLimit((scenario.Nodes+scenario.ControlMachines)*(8+scenario.Servers) +
+		4*scenario.Clients.Initial + 500); err != nil {
 		return nil, err
 	}
-	r := &run{scenario: scenario, options: options, starter: process.NewStarter(), ended: make(chan struct{}), links: map[linkKey]*emulator.Direction{},
-		readyDurations: map[int][]time.Duration{}, unreadyCounts: map[int]int{},
-		rng: rand.New(rand.NewPCG(options.Seed, 1)), totals: map[string]int{}, peakTimes: map[string][]time.Time{}, effects: make([]int, len(scenario.Events)), counters: map[string]float64{}}
+	r := &run{scenario: scenario, options: options, starter: process.NewStarter(), ended: make(chan struct{}),
+		links: map[linkKey]*emulator.Direction{}, readyDurations: map[int][]time.Duration{},
+		unreadyCounts: map[int]int{}, rng: rand.New(rand.NewPCG(options.Seed, 1)), totals: map[string]int{},
+		peakTimes: map[string][]time.Time{}, effects: make([]int, len(scenario.Events)),
+		counters: map[string]float64{}}
 	defer r.starter.Close()
 	if scenario.UseShim {
 		shimLibrary, err := shim.Build()
@@ -99,16 +107,18 @@
 		DepartureGrace: 100 * time.Millisecond, IdempotencyWindow: idempotencyWindow, ReadyTimeout: readyTimeout,
 		RateLimits: scenario.Quotas.limits(), SlowStartWindow: time.Duration(server.OverloadWindow),
 		SlowStartDuration: time.Duration(server.SlowStartDuration),
-		SlowStartLimit: func(age time.Duration) float64 { // by the mean share of the window
-			meanShare := max(age.Seconds()-time.Duration(server.OverloadWindow).Seconds()/2, 0) / time.Duration(server.SlowStartDuration).Seconds()
+		SlowStartLimit: func(age time.Duration) float64 { // at the mean capacity over the window
+			meanShare := max(age.Seconds()-time.Duration(server.OverloadWindow).Seconds()/2, 0) /
+				time.Duration(server.SlowStartDuration).Seconds()
 			capacityFraction := min(server.SlowStartMinCapacity+(1-server.SlowStartMinCapacity)*meanShare, 1)
-			return server.OverloadFactor * time.Duration(server.OverloadWindow).Seconds() * capacityFraction * expectedConnections /
-				(float64(scenario.Servers) * time.Duration(server.SlowStartDuration).Seconds())
+			return server.OverloadFactor * time.Duration(server.OverloadWindow).Seconds() * capacityFraction *
+				expectedConnections / (float64(scenario.Servers) * time.Duration(server.SlowStartDuration).Seconds())
 		},
 	})
 	var err error
 	if scenario.ControlMachines > 0 {
-		if r.childNetwork, err = emulator.NewDatagramNetwork(scenario.Nodes+scenario.ControlMachines, options.Seed^1<<32); err != nil {
+		if r.childNetwork, err = emulator.NewDatagramNetwork(scenario.Nodes+scenario.ControlMachines,
+			options.Seed^1<<32); err != nil {
 			return nil, err
 		}
 		defer r.childNetwork.Close()
@@ -118,7 +128,8 @@
 	}
 	defer r.peerNetwork.Close()
 	r.listService = emulator.NewListService(emulator.ListConfig{
-		CallsPerSecond: scenario.ListService.CallsPerSecond, QueueTimeout: time.Duration(scenario.ListService.CallTimeout),
+		CallsPerSecond:   scenario.ListService.CallsPerSecond,
+		QueueTimeout:     time.Duration(scenario.ListService.CallTimeout),
 		PropagationDelay: time.Duration(scenario.ListService.PropagationDelay),
 	}, r.onNotification, r.onListCall)
 	defer r.listService.Close()
@@ -161,10 +172,10 @@
 	go r.sampleClients()
 	r.tasks.Go(r.startClients)
 	r.tasks.Go(r.startMisbehavingClients)
-	for i, e := range scenario.Events {
+	for i, event := range scenario.Events {
 		r.tasks.Go(func() {
-			if r.sleep(time.Until(r.startedAt.Add(time.Duration(e.At)))) {
-				r.inject(i, e)
+			if r.sleep(time.Until(r.startedAt.Add(time.Duration(event.At)))) {
+				r.inject(i, event)
 			}
 		})
 	}
@@ -175,18 +186,18 @@
 	go func() { r.tasks.Wait(); close(done) }()
 	select {
 	case <-done:
-	case <-time.After(20 * time.Second): // guards against a rig that never ends
+	case <-time.After(20 * time.Second): // bounds the run if a task hangs
 		r.fail("clients or events did not end within 20 s")
 	}
 	return r.collectResult(), nil
 }
 
-// connections are those that all servers are to bear.
+// expectedConnections returns the connections for which the servers are provisioned: 85% of their capacity.
 func (r *run) expectedConnections() float64 {
 	return 0.85 * float64(r.scenario.Server.Capacity*r.scenario.Servers)
 }
 
-// way is one direction of a node's links of a kind.
+// direction returns one direction of a node's links of a kind, shared by all of them.
 func (r *run) direction(kind string, node int, toNode bool) *emulator.Direction {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -197,26 +208,30 @@
 	return r.links[key]
 }
 
-// ways are both directions of any node's links of a kind, by what the nodes say and hear there.
+// nodeLinks returns, for links of a kind, the function that returns both directions of a node's link: from the node and
+// to it.
 func (r *run) nodeLinks(kind string) emulator.Links {
 	return func(node int) (in, out *emulator.Direction) {
 		return r.direction(kind, node, false), r.direction(kind, node, true)
 	}
 }
 
+// count adds one to a total.
 func (r *run) count(name string) {
 	r.mu.Lock()
 	r.totals[name]++
 	r.mu.Unlock()
 }
 
-// peak notes something of which the most in any second is wanted; of what has a second word the most at any one of those.
+// recordPeak records an occurrence of something of which Result.Peaks has the maximum in any second. A name that ends
+// with a space and a server ID is counted by server.
 func (r *run) recordPeak(name string, at time.Time) {
 	r.mu.Lock()
 	r.peakTimes[name] = append(r.peakTimes[name], at)
 	r.mu.Unlock()
 }
 
+// fail makes the run invalid. The first reason is kept.
 func (r *run) fail(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -225,9 +240,9 @@
 	}
 }
 
-// sleep waits, and tells whether the day still goes on.
-func (r *run) sleep(d time.Duration) bool {
-	timer := time.NewTimer(d)
+// sleep waits for d or until the run ends, and reports whether the run goes on.
+func (r *run) sleep(duration time.Duration) bool {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -237,26 +252,28 @@
 	}
 }
 
+// randomIndex returns a random number from 0 to n-1.
 func (r *run) randomIndex(n int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rng.IntN(n)
 }
 
+// randomDuration returns a random duration between low and high.
 func (r *run) randomDuration(low, high Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return time.Duration(low) + time.Duration(r.rng.Float64()*float64(high-low))
 }
 
-// The list service and the servers.
-
+// newServer starts a server and adds it to the list. Started is when it started, zero for long ago.
 func (r *run) newServer(started time.Time) error {
 	config := emulator.ServerConfig{
-		Capacity: r.scenario.Server.Capacity, InitialFraction: r.scenario.Server.SlowStartMinCapacity, WarmUp: time.Duration(r.scenario.Server.SlowStartDuration),
+		Capacity: r.scenario.Server.Capacity, InitialFraction: r.scenario.Server.SlowStartMinCapacity,
+		WarmUp: time.Duration(r.scenario.Server.SlowStartDuration),
 	}
 	r.mu.Lock()
-	r.serverCount++ // two may start at once
+	r.serverCount++ // under the lock, as servers may start concurrently
 	id := fmt.Sprintf("s-%d", r.serverCount)
 	r.mu.Unlock()
 	server := emulator.NewServer(id, config, started, r.onServerEvent)
@@ -270,8 +287,9 @@
 	return nil
 }
 
-// leave makes known that a server drains or is gone. Where it is to count as told whether or not it reaches a node, it does
-// so for all nodes once the service has had it and could be reached for as long.
+// reportLeaving adds to the list that a server drains or is removed. With a NotificationGrace it then reports the
+// server to the checker as leaving, for all nodes, once the service has had the change and been reachable for that
+// time.
 func (r *run) reportLeaving(server *emulator.Server, state string) {
 	r.listService.UpdateServer(server, state)
 	grace := time.Duration(r.scenario.ListService.NotificationGrace)
@@ -306,7 +324,7 @@
 	})
 }
 
-// listDown has the list service go down, or come back.
+// setListDown makes the list service unreachable, or ends that.
 func (r *run) setListDown(down bool) {
 	r.listService.SetDown(down)
 	r.mu.Lock()
@@ -320,12 +338,14 @@
 	}
 }
 
+// stopServers stops all servers.
 func (r *run) stopServers() {
 	for _, s := range r.servers {
 		s.Stop()
 	}
 }
 
+// onNotification records a notification by the list service.
 func (r *run) onNotification(notification emulator.Notification) {
 	r.mu.Lock()
 	if n := r.nodes[notification.Node]; !n.listPendingSince.IsZero() {
@@ -337,15 +357,16 @@
 		n.recoveryPendingSince = time.Time{}
 	}
 	r.mu.Unlock()
-	for _, e := range notification.Endpoints {
+	for _, endpoint := range notification.Endpoints {
 		started := time.Time{}
-		if e.Started > 0 {
-			started = time.UnixMilli(e.Started)
+		if endpoint.Started > 0 {
+			started = time.UnixMilli(endpoint.Started)
 		}
-		r.checker.EndpointReported(notification.Node, e.ID, e.State != "up", started, notification.At)
+		r.checker.EndpointReported(notification.Node, endpoint.ID, endpoint.State != "up", started, notification.At)
 	}
 }
 
+// onListCall records a call of the list service.
 func (r *run) onListCall(call emulator.Call) {
 	r.count("list calls")
 	r.recordPeak("list calls", call.At)
@@ -355,6 +376,7 @@
 	}
 }
 
+// onServerEvent records an event at a server.
 func (r *run) onServerEvent(event emulator.Event) {
 	switch event.Kind {
 	case emulator.AttemptReceived:
@@ -378,7 +400,7 @@
 	}
 }
 
-// watchClock notes how late the rig itself is.
+// measureLateness records by how much the harness itself wakes up late.
 func (r *run) measureLateness() {
 	const interval = 20 * time.Millisecond
 	for {
@@ -392,7 +414,7 @@
 	}
 }
 
-// measure looks ten times a second where the clients are, and which servers are asked for more than they can do.
+// sampleClients samples ten times a second which clients are connected, and which servers are overloaded.
 func (r *run) sampleClients() {
 	const samplesPerSecond = 10
 	for r.sleep(time.Second / samplesPerSecond) {
@@ -423,7 +445,8 @@
 			r.seconds = append(r.seconds, Second{})
 		}
 		total := &r.seconds[second]
-		total.Served, total.Overloaded, total.Waiting, total.Utilization = total.Served+sample.Served, total.Overloaded+sample.Overloaded, total.Waiting+sample.Waiting, loads
+		total.Served, total.Overloaded, total.Waiting, total.Utilization = total.Served+sample.Served,
+			total.Overloaded+sample.Overloaded, total.Waiting+sample.Waiting, loads
 		r.clients = slices.DeleteFunc(r.clients, func(c *client) bool { return c.isFinished() })
 		r.mu.Unlock()
 	}
--- a/lab/rig/rig_test.go
+++ b/lab/rig/rig_test.go
@@ -128,8 +128,9 @@
 	}
 }
 
-// Twelve processes divide what cold servers bear while one kind of fault at a time is put between them. What each cold server
-// is sent is counted there: in no window is it more than the whole, and grants are in use, or it would prove nothing.
+// Twelve processes divide what cold servers bear while one kind of fault at a time is put between them. What each cold
+// server is sent is counted there: in no window is it more than the whole, and grants are in use, or it would prove
+// nothing.
 func TestNeverMoreThanTheWholeUnderFaults(t *testing.T) {
 	ms := func(n int) Duration { return Duration(time.Duration(n) * time.Millisecond) }
 	all := []int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11} // in turn: whoever keeps is met
@@ -172,9 +173,10 @@
 	}
 }
 
-// Ten processes start anew at once and in tenths, the list service being up, slow, and down; each time nine in ten are ready within 10 s.
-// Guards against a start that waits for the list service. Nothing here goes by how fast the machine is: each process is ended once it is
-// ready, and the day lasts until the last one is. The service stays down to its end: a start that waits for it has not been ready in time.
+// Ten processes start anew at once and in tenths, the list service being up, slow, and down; each time nine in ten are
+// ready within 10 s. Guards against a start that waits for the list service. Nothing here goes by how fast the machine
+// is: each process is ended once it is ready, and the day lasts until the last one is. The service stays down to its
+// end: a start that waits for it has not been ready in time.
 func TestRestartedProcessesAreReady(t *testing.T) {
 	for _, unknown := range []bool{false, true} {
 		s := load(t, "restarts")
@@ -202,8 +204,9 @@
 	}
 }
 
-// Twenty and thirty processes, by fixed parts and with leases, that all start anew, seven in ten of them at once, with uneven traffic and the
-// wave of those who come back: all together send no cold server more than it bears, and one more for chance. Each server is sent enough to prove it.
+// Twenty and thirty processes, by fixed parts and with leases, that all start anew, seven in ten of them at once, with
+// uneven traffic and the wave of those who come back: all together send no cold server more than it bears, and one more
+// for chance. Each server is sent enough to prove it.
 func TestColdServersUnderTheSumOfManyProcesses(t *testing.T) {
 	for _, c := range []struct {
 		nodes int
@@ -219,8 +222,9 @@
 	}
 }
 
-// What all nodes may do in a second, or a customer have at once, stays within it while clients want more and nodes are killed, stopped and
-// cut off; each bound is met and used, or it would prove nothing: of open connections, over the own parts (12), and moved in a split.
+// What all nodes may do in a second, or a customer have at once, stays within it while clients want more and nodes are
+// killed, stopped and cut off; each bound is met and used, or it would prove nothing: of open connections, over the own
+// parts (12), and moved in a split.
 func TestWhatAllNodesMayDoIsBounded(t *testing.T) {
 	for _, c := range []struct {
 		scenario, met string         // counters of what was given up
@@ -233,7 +237,8 @@
 		{"uneven", "moves", map[string]int{"moved for relief": 0}, func(s *Scenario) {
 			s.Nodes, s.Clients.Initial, s.Quotas.MovesPerSecond, s.Length = 12, 300, 2, Duration(11*time.Second)
 		}, 0},
-		// Who is moved stands on leases at nodes that the split leaves without a keeper: by chance nobody does, and that play proves nothing.
+		// Who is moved stands on leases at nodes that the split leaves without a keeper: by chance nobody does, and
+		// that play proves nothing.
 		{"open", "open_per_customer", map[string]int{"most open of a customer": 12, "budget_leased": 0, "moved": 0}, nil, 3},
 	} {
 		t.Run(c.scenario, func(t *testing.T) {
@@ -269,9 +274,9 @@
 	}
 }
 
-// Twelve nodes below three control machines in three zones divide what servers bear, while one kind of fault at a time is put on the
-// control machines, on the nodes and on the ways of both. Counted at the servers, in no window is there more than the whole; units have
-// come through the control machines, or it would prove nothing.
+// Twelve nodes below three control machines in three zones divide what servers bear, while one kind of fault at a time
+// is put on the control machines, on the nodes and on the ways of both. Counted at the servers, in no window is there
+// more than the whole; units have come through the control machines, or it would prove nothing.
 func TestNeverMoreThanTheWholeBelowControlMachines(t *testing.T) {
 	ms := func(n int) Duration { return Duration(time.Duration(n) * time.Millisecond) }
 	nodes, control := []int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11}, []int{12, 13, 14}
@@ -301,7 +306,8 @@
 			replace.At = ms(4000)
 			s.Events = append([]Event{replace}, c.events...)
 			r := play(t, s, 1)
-			// Who is killed tells no counters: there what nodes had of grants counts alone, as nodes have them of control machines only.
+			// Who is killed tells no counters: there what nodes had of grants counts alone, as nodes have them of
+			// control machines only.
 			passed := r.Counters["budget_passed"] > 0 || c.name == "control machines killed"
 			if !passed || r.Counters["budget_leased"] == 0 || r.Totals["attempts at cold servers"] < 10 {
 				t.Errorf("%v through control machines, %v of grants, %d at cold servers: nothing is proved", r.Counters["budget_passed"],
@@ -316,8 +322,9 @@
 	}
 }
 
-// Guards against nodes of a large fleet that are told of a drain seconds after the list service could tell them: its change counts as
-// told 6 s after that, whatever calls failed before. The pause after a failed call was 7.5 to 22 s for 24 of 300 nodes.
+// Guards against nodes of a large fleet that are told of a drain seconds after the list service could tell them: its
+// change counts as told 6 s after that, whatever calls failed before. The pause after a failed call was 7.5 to 22 s for
+// 24 of 300 nodes.
 func TestTheListComesSoonAfterItsServiceIsBack(t *testing.T) {
 	s := load(t, "list-back")
 	s.Length = Duration(15500 * time.Millisecond) // half a second more than what is looked at
@@ -328,8 +335,9 @@
 	t.Logf("%+v, %d calls, %d failed", r.ListRecovery, r.Totals["list calls"], r.Totals["list calls failed"])
 }
 
-// Guards against clients sent to servers that drain where the list service cannot tell all nodes in time: whoever has had no word of it
-// asks each server first. Counted at the servers; the node that sent by its old list, when no other server had room, was caught on three seeds of three.
+// Guards against clients sent to servers that drain where the list service cannot tell all nodes in time: whoever has
+// had no word of it asks each server first. Counted at the servers; the node that sent by its old list, when no other
+// server had room, was caught on three seeds of three.
 func TestNobodyIsSentToWhoDrainsByAnOldList(t *testing.T) {
 	r := play(t, load(t, "list-slow"), 1)
 	if r.ListRecovery.Missing < r.Nodes/2 || r.Totals["up"] < 100 {
--- a/lab/rig/scenario.go
+++ b/lab/rig/scenario.go
@@ -84,7 +84,7 @@
 	NotificationGrace Duration `toml:"told"`
 }
 
-// Quotas describes the limits that all nodes share, and how they divide them. A limit of 0 is unlimited.
+// Quotas describes the limits that all nodes share, and how they divide them. A limit of 0 means none.
 type Quotas struct {
 	Leased             bool    `toml:"lease"` // from one another; otherwise each node has a fixed quota
 	GuaranteedFraction float64 `toml:"floor"` // of a limit that is divided into fixed quotas
@@ -102,10 +102,11 @@
 	OpenLeaseTerm Duration `toml:"open_lease"`
 }
 
-// rates are the bounds by their keys.
-func (b Quotas) limits() map[string]int {
-	return map[string]int{"retries_per_s": b.RetriesPerSecond, "list_calls_per_s": b.ListCallsPerSecond, "probes_per_s": b.HealthChecksPerSecond, "connects_per_s": b.ConnectsPerSecond,
-		"moves_per_s": b.MovesPerSecond, "opens_per_s": b.OpensPerSecond, "open_per_customer": b.OpenPerCustomer}
+// limits returns the limits by their keys.
+func (q Quotas) limits() map[string]int {
+	return map[string]int{"retries_per_s": q.RetriesPerSecond, "list_calls_per_s": q.ListCallsPerSecond,
+		"probes_per_s": q.HealthChecksPerSecond, "connects_per_s": q.ConnectsPerSecond,
+		"moves_per_s": q.MovesPerSecond, "opens_per_s": q.OpensPerSecond, "open_per_customer": q.OpenPerCustomer}
 }
 
 // Event is a fault, or a planned change such as a restart, that is injected during the run.
@@ -115,8 +116,8 @@
 	Fraction float64  `toml:"part"`  // of the nodes or servers
 	Stagger  Duration `toml:"over"`  // the time over which the targets are hit one after another
 	Steps    int      `toml:"steps"` // groups in which they are hit; 0 means one by one
-	// Duration is how long the fault lasts; with kill, stop and crash_servers the time until the restart, with
-	// replace_servers how long an old server drains.
+	// Duration is how long the fault lasts; with kill, stop and crash_servers the time until a replacement starts,
+	// with replace_servers how long an old server drains.
 	Duration Duration `toml:"for"`
 	Nodes    []int    `toml:"nodes"` // in place of a fraction
 	// AwaitReady makes kill and stop wait for each process to be ready, for at most readyTimeout.
@@ -136,7 +137,8 @@
 	Probability float64  `toml:"chance"` // that a call fails, or that a server's answer is malformed
 }
 
-// group is how many deal with one another as equals: the control machines, or the nodes where there are none.
+// peerCount returns the number of processes that exchange leases as peers: the control machines, or without those the
+// nodes.
 func (s *Scenario) peerCount() int {
 	if s.ControlMachines > 0 {
 		return s.ControlMachines
@@ -144,7 +146,7 @@
 	return s.Nodes
 }
 
-// zone is that of a process: nodes lie in blocks, control machines in turn.
+// zone returns the zone of a process. Nodes are assigned to zones in blocks, control machines round-robin.
 func (s *Scenario) zone(index int) int {
 	if zones := max(s.Zones, 1); index >= s.Nodes {
 		return (index - s.Nodes) % zones
@@ -153,7 +155,8 @@
 	}
 }
 
-// preference gives the control machines of a node, as processes: first those of its zone, each node beginning with another.
+// controlMachinesByZone returns the process indices of a node's control machines, those in its zone first. Neighboring
+// nodes start with different ones, to spread the load.
 func (s *Scenario) controlMachinesByZone(index int) (near []int) {
 	var far []int
 	for i := range s.ControlMachines {
@@ -166,31 +169,33 @@
 	return append(near, far...)
 }
 
-// missing is the place of the first node that an event names and that is not there; -1 where all are.
+// unknownNodeIndex returns the position, in the nodes of an event, of the first that does not exist; -1 if all exist.
 func (s *Scenario) unknownNodeIndex(e Event) int {
 	return slices.IndexFunc(e.Nodes, func(n int) bool { return n < 0 || n >= s.Nodes+s.ControlMachines })
 }
 
-var eventKinds = []string{"kill", "stop", "pause", "twin", "split", "link", "replace_servers", "crash_servers", "hang_servers", "list_down", "list_stuck",
-	"upgrade", "reload", "log_stuck", "clock_step", "syscalls", "spoil_servers"}
+// eventKinds are the valid values of Event.Kind.
+var eventKinds = []string{"kill", "stop", "pause", "twin", "split", "link", "replace_servers", "crash_servers",
+	"hang_servers", "list_down", "list_stuck", "upgrade", "reload", "log_stuck", "clock_step", "syscalls",
+	"spoil_servers"}
 
-// calls are the system calls that may be made to fail.
+// syscalls are the system calls that can be made to fail, by their names in a scenario.
 var syscalls = map[string]shim.Call{"accept": shim.Accept, "socket": shim.Socket, "connect": shim.Connect}
 
 //go:embed scenarios/*.toml
 var embedded embed.FS
 
-// EmbeddedNames returns the names of the scenarios that come with the program.
+// EmbeddedNames returns the names of the scenarios that are part of the program.
 func EmbeddedNames() []string { return scenario.EmbeddedNames(embedded) }
 
-// Load reads a kept scenario by its name, or a file.
+// Load reads an embedded scenario by its name, or a file by its path, and checks it.
 func Load(name string) (*Scenario, error) {
 	s := &Scenario{}
 	return s, scenario.Load(embedded, name, s)
 }
 
-// SetNodes plays the scenario with another number of nodes. An error names the scenario and the key that does not fit it, such as
-// an event about a node that is not there.
+// SetNodes changes the number of nodes and checks the scenario again. An error names the scenario and the key that does
+// not fit the number, such as an event that names a missing node.
 func (s *Scenario) SetNodes(nodes int) error {
 	s.Nodes = nodes
 	if err := s.Check(); err != nil {
@@ -199,7 +204,7 @@
 	return nil
 }
 
-// Check names the first key that is faulty.
+// Check returns an error that names the first invalid key.
 func (s *Scenario) Check() error {
 	clients, server := s.Clients, s.Server
 	for _, rule := range []struct {
@@ -207,21 +212,24 @@
 		valid       bool
 		requirement string
 	}{
-		{"name", s.Name != "", "a text"},
+		{"name", s.Name != "", "a non-empty text"},
 		{"length", s.Length > 0 && s.Length <= Duration(time.Hour), "over 0, at most 1h"},
 		{"nodes", s.Nodes >= 2 && s.Nodes <= 300, "2 to 300"},
-		{"control", s.ControlMachines >= 0 && s.ControlMachines <= 32 && (s.ControlMachines == 0 || s.Quotas.Leased), "0 to 32, and 0 without budgets.lease"},
-		{"zones", s.Zones >= 0 && s.Zones <= s.Nodes, "0 to the nodes"},
+		{"control", s.ControlMachines >= 0 && s.ControlMachines <= 32 && (s.ControlMachines == 0 || s.Quotas.Leased),
+			"0 to 32, and 0 without budgets.lease"},
+		{"zones", s.Zones >= 0 && s.Zones <= s.Nodes, "0 to the number of nodes"},
 		{"servers", s.Servers > 0 && s.Servers <= 300, "1 to 300"},
 		{"clients.standing", clients.Initial >= 0 && clients.Initial <= 4000, "0 to 4000"},
 		{"clients.customers", clients.Customers >= 0, "0 or more"},
 		{"clients.per_second", clients.PerSecond >= 0 && clients.PerSecond <= 2000, "0 to 2000"},
 		{"clients.life", clients.MeanDuration > 0, "over 0"},
 		{"clients.deadline", clients.Deadline >= Duration(100*time.Millisecond), "0.1s or more"},
-		{"clients.rejoin", clients.ReconnectDelay[0] > 0 && clients.ReconnectDelay[1] >= clients.ReconnectDelay[0], "two times over 0, the shorter first"},
+		{"clients.rejoin", clients.ReconnectDelay[0] > 0 && clients.ReconnectDelay[1] >= clients.ReconnectDelay[0],
+			"two durations over 0, the shorter first"},
 		{"clients.uneven", clients.BusyNodeWeight >= 0 && clients.BusyNodeWeight <= 1000, "0 to 1000"},
 		{"clients.odd", clients.MisbehavingPerSecond >= 0 && clients.MisbehavingPerSecond <= 1000, "0 to 1000"},
-		{"clients.unsafe", clients.NotIdempotentFraction >= 0 && clients.KeyedFraction >= 0 && clients.NotIdempotentFraction+clients.KeyedFraction <= 1, "0 to 1, and no more than 1 with clients.keyed"},
+		{"clients.unsafe", clients.NotIdempotentFraction >= 0 && clients.KeyedFraction >= 0 &&
+			clients.NotIdempotentFraction+clients.KeyedFraction <= 1, "0 to 1, and at most 1 together with clients.keyed"},
 		{"server.holds", server.Capacity > 0, "over 0"},
 		{"server.cold_from", server.SlowStartMinCapacity > 0 && server.SlowStartMinCapacity <= 1, "over 0, at most 1"},
 		{"server.cold_for", server.SlowStartDuration > 0, "over 0"},
@@ -232,8 +240,9 @@
 		{"list.patience", s.ListService.CallTimeout >= 0, "0 or more"},
 		{"list.lag", s.ListService.PropagationDelay >= 0, "0 or more"},
 		{"list.told", s.ListService.NotificationGrace >= 0, "0 or more"},
-		{"fleet", s.FleetSize == 0 || s.FleetSize >= s.Nodes, "0, or the nodes or more"},
-		{"budgets.floor", s.Quotas.GuaranteedFraction >= 0 && s.Quotas.GuaranteedFraction <= 1, "0 to 1: the fixed parts are no more than the whole"},
+		{"fleet", s.FleetSize == 0 || s.FleetSize >= s.Nodes, "0, or at least the number of nodes"},
+		{"budgets.floor", s.Quotas.GuaranteedFraction >= 0 && s.Quotas.GuaranteedFraction <= 1,
+			"0 to 1, as a fraction of each limit"},
 	} {
 		if !rule.valid {
 			return fmt.Errorf("%s: must be %s", rule.key, rule.requirement)
@@ -241,7 +250,7 @@
 	}
 	for key, limit := range s.Quotas.limits() {
 		if limit < 0 || limit > 0 && !s.Quotas.Leased {
-			return fmt.Errorf("budgets.%s: must be 0 or more, and 0 without lease", key)
+			return fmt.Errorf("budgets.%s: must be 0 or more, and 0 without budgets.lease", key)
 		}
 	}
 	for i, e := range s.Events {
@@ -250,42 +259,46 @@
 		case !slices.Contains(eventKinds, e.Kind):
 			return fmt.Errorf("events[%d].do: %q is none of %s", i, e.Kind, strings.Join(eventKinds, ", "))
 		case e.At < 0 || e.At > s.Length:
-			return fmt.Errorf("events[%d].at: must lie within the length", i)
+			return fmt.Errorf("events[%d].at: must be within the length of the scenario", i)
 		case e.Fraction < 0 || e.Fraction > 1:
 			return fmt.Errorf("events[%d].part: must be 0 to 1", i)
 		case e.Steps < 0:
 			return fmt.Errorf("events[%d].steps: must be 0 or more", i)
 		case e.Duration < 0 || e.Stagger < 0 || e.Delay < 0:
-			return fmt.Errorf("events[%d]: times must be 0 or more", i)
+			return fmt.Errorf("events[%d]: for, over and delay must be 0 or more", i)
 		case s.unknownNodeIndex(e) >= 0:
-			return fmt.Errorf("events[%d].nodes: %d is not 0 to %d", i, e.Nodes[s.unknownNodeIndex(e)], s.Nodes+s.ControlMachines-1)
+			return fmt.Errorf("events[%d].nodes: %d is not 0 to %d", i, e.Nodes[s.unknownNodeIndex(e)],
+				s.Nodes+s.ControlMachines-1)
 		case e.Group != "" && (e.Group != "control" || s.ControlMachines == 0):
-			return fmt.Errorf("events[%d].of: %q is not control, of which there are %d", i, e.Group, s.ControlMachines)
+			return fmt.Errorf("events[%d].of: %q is not control, or there are no control machines (%d)", i, e.Group, s.ControlMachines)
 		case maxProbability > 1 || min(e.Loss, e.Duplicate, e.Reorder) < 0:
 			return fmt.Errorf("events[%d]: lose, twice and late must be 0 to 1", i)
 		case s.ListService.NotificationGrace > 0 && (e.Kind == "list_stuck" || e.Kind == "link" && e.Link == "list"):
-			return fmt.Errorf("events[%d]: with list.told the service is the same to all nodes", i)
+			return fmt.Errorf("events[%d]: list.told does not allow faults of the list service at some nodes only", i)
 		case e.Probability < 0 || e.Probability > 1:
 			return fmt.Errorf("events[%d].chance: must be 0 to 1", i)
 		case !s.UseShim && (e.Kind == "clock_step" || e.Kind == "syscalls"):
 			return fmt.Errorf("events[%d].do: %s needs shim = true", i, e.Kind)
 		case !s.InheritSocket && e.Kind == "upgrade":
 			return fmt.Errorf("events[%d].do: upgrade needs inherit = true", i)
-		case e.Kind == "syscalls" && (len(e.Syscalls) == 0 || slices.ContainsFunc(e.Syscalls, func(c string) bool { return syscalls[c] == 0 })):
-			return fmt.Errorf("events[%d].calls: %q are not of accept, socket, connect", i, e.Syscalls)
+		case e.Kind == "syscalls" && (len(e.Syscalls) == 0 ||
+			slices.ContainsFunc(e.Syscalls, func(name string) bool { return syscalls[name] == 0 })):
+			return fmt.Errorf("events[%d].calls: %q must be some of accept, socket, connect", i, e.Syscalls)
 		case e.Kind != "link":
 		case !slices.Contains([]string{"peers", "children", "list", "servers", "clients"}, e.Link):
 			return fmt.Errorf("events[%d].link: %q is none of peers, children, list, servers, clients", i, e.Link)
 		case e.Link == "children" && s.ControlMachines == 0:
-			return fmt.Errorf("events[%d].link: children are those of control machines, and there are none", i)
-		case e.Link == "peers" && s.ControlMachines > 0 && e.Group != "control" && len(e.Nodes) == 0, e.Link == "peers" && slices.ContainsFunc(e.Nodes, func(n int) bool { return s.ControlMachines > 0 && n < s.Nodes }):
-			return fmt.Errorf("events[%d].link: peers are the control machines, where there are any", i)
+			return fmt.Errorf("events[%d].link: children needs control machines, and there are none", i)
+		case e.Link == "peers" && s.ControlMachines > 0 && e.Group != "control" && len(e.Nodes) == 0,
+			e.Link == "peers" &&
+				slices.ContainsFunc(e.Nodes, func(n int) bool { return s.ControlMachines > 0 && n < s.Nodes }):
+			return fmt.Errorf("events[%d].link: peers must be control machines, as the scenario has some", i)
 		case !slices.Contains([]string{"to", "from", "both"}, e.Direction):
 			return fmt.Errorf("events[%d].way: %q is none of to, from, both", i, e.Direction)
 		case linkModes[e.Mode] == 0 && e.Mode != "pass":
 			return fmt.Errorf("events[%d].mode: %q is none of pass, drop, stall, reset, cut", i, e.Mode)
 		case maxProbability > 0 && e.Link != "peers" && e.Link != "children":
-			return fmt.Errorf("events[%d]: lose, twice and late are for peers and children, whose words are datagrams", i)
+			return fmt.Errorf("events[%d]: lose, twice and late are for peers and children, which exchange datagrams", i)
 		}
 	}
 	return nil
--- a/lab/rig/trouble.go
+++ b/lab/rig/trouble.go
@@ -10,14 +10,14 @@
 	"brassmux/lab/process"
 )
 
-// acted notes that an event was seen to act, at who met it.
+// recordEffect records that an event was observed to affect its targets.
 func (r *run) recordEffect(event, count int) {
 	r.mu.Lock()
 	r.effects[event] += count
 	r.mu.Unlock()
 }
 
-// chosen gives the nodes that an event is about.
+// selectNodes returns the nodes of an event: those that it names, or a random fraction.
 func (r *run) selectNodes(e Event) (nodes []*node) {
 	if len(e.Nodes) > 0 {
 		for _, i := range e.Nodes {
@@ -37,7 +37,8 @@
 	return nodes
 }
 
-// inTurn does something to each of count, spread over the event's time one by one or in its steps, and returns when all is done.
+// stagger calls hit for each of count targets, spread over the event's Stagger one by one or in its steps. It returns
+// when all calls have.
 func (r *run) stagger(e Event, count int, hit func(i int)) {
 	startedAt := time.Now()
 	done := make(chan struct{}, count)
@@ -58,7 +59,7 @@
 	}
 }
 
-// trouble lets an event happen, to its end.
+// inject injects an event's fault and returns when it is over, or when what remains is left to a task of the run.
 func (r *run) inject(index int, e Event) {
 	duration := time.Duration(e.Duration)
 	switch e.Kind {
@@ -82,7 +83,7 @@
 			r.sleep(duration)
 			r.checker.NodeResumed(n.index, suspendedAt, time.Now())
 			p.Signal(syscall.SIGCONT)
-			time.Sleep(200 * time.Millisecond) // what waited meanwhile
+			time.Sleep(200 * time.Millisecond) // until it has processed what arrived while it was suspended
 			r.setDisturbed(n, false)
 		})
 	case "twin":
@@ -100,7 +101,7 @@
 				}
 			})
 		}
-	case "split": // words between the two halves
+	case "split": // drops all datagrams between the two halves of the processes
 		var directions []*emulator.Direction
 		for i := range r.nodes {
 			for j := range i {
@@ -109,7 +110,9 @@
 				}
 			}
 		}
-		r.switchFault(index, directions, func(direction *emulator.Direction, on bool) { direction.Set(modeIf(on, emulator.Drop), 0) }, duration)
+		r.switchFault(index, directions, func(direction *emulator.Direction, on bool) {
+			direction.Set(modeIf(on, emulator.Drop), 0)
+		}, duration)
 	case "link":
 		r.injectLinkFault(index, e, duration)
 	case "replace_servers":
@@ -157,7 +160,9 @@
 			}
 		})
 	case "syscalls":
-		r.applyFor(r.selectNodes(e), duration, func(n *node, p *process.Process, on bool) { r.setSyscallFailures(index, e, n, on) })
+		r.applyFor(r.selectNodes(e), duration, func(n *node, p *process.Process, on bool) {
+			r.setSyscallFailures(index, e, n, on)
+		})
 	case "spoil_servers":
 		for _, s := range r.selectServers(e) {
 			s.SetMalformedFraction(e.Probability)
@@ -167,7 +172,7 @@
 				r.recordEffect(index, int(s.MalformedAnswers.Load()))
 			})
 		}
-	case "list_stuck": // and those who ask it call anew meanwhile
+	case "list_stuck": // the nodes' watches get stale lists
 		staleBefore := r.listService.StaleAnswers.Load()
 		nodes := r.selectNodes(e)
 		for _, n := range nodes {
@@ -191,7 +196,7 @@
 	}
 }
 
-// eachFor does something to the processes that nodes have now, and undoes it after a while.
+// applyFor applies a fault to the current processes of nodes and reverts it, on the same processes, after a duration.
 func (r *run) applyFor(nodes []*node, duration time.Duration, apply func(n *node, p *process.Process, on bool)) {
 	var processes []*process.Process
 	for _, n := range nodes {
@@ -205,7 +210,7 @@
 	}
 }
 
-// upgrade starts a node's next process beside the one that serves, which is told to stop once the next serves.
+// upgrade starts a node's next process beside the current one, and stops the current one once the next one listens.
 func (r *run) upgrade(index int, n *node) {
 	old := r.currentProcess(n)
 	next := r.startNode(index, n, 0, false)
@@ -218,7 +223,8 @@
 	r.stopProcess(n, old)
 }
 
-// stopProcess tells a process of a node to stop, and waits until it has. It tells whether it did so in time.
+// stopProcess stops a process of a node with SIGTERM and waits for its exit. It reports whether it exited in time; if
+// not, the run is invalid.
 func (r *run) stopProcess(n *node, p *process.Process) bool {
 	p.Stop()
 	select {
@@ -231,7 +237,7 @@
 	}
 }
 
-// reload has a node's process ask the other address of the list service.
+// reload reloads the configuration of a node's process with the other address of the list service.
 func (r *run) reload(index int, n *node) {
 	cfg, p := r.nodeConfig(n, 0), r.currentProcess(n)
 	r.mu.Lock()
@@ -239,7 +245,7 @@
 		cfg["discovery"] = r.alternateListAddr
 	}
 	r.mu.Unlock()
-	if err := p.Reload(cfg); errors.Is(err, os.ErrClosed) { // the process has been killed meanwhile
+	if err := p.Reload(cfg); errors.Is(err, os.ErrClosed) { // another event has ended the process
 		return
 	} else if err != nil {
 		r.fail("node %d cannot be reloaded: %v", n.index, err)
@@ -248,23 +254,23 @@
 	r.recordEffect(index, 1)
 }
 
-// step has the wall clock of a node's machine be off.
+// setClockOffset sets the offset of the wall clock of a node.
 func (r *run) setClockOffset(n *node, offset time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n.shim.SetClockOffset(offset)
 }
 
-// failCalls has system calls of a node's process fail by chance, or no more.
+// setSyscallFailures makes system calls of a node's process fail at random, or ends that.
 func (r *run) setSyscallFailures(index int, e Event, n *node, on bool) {
 	r.mu.Lock()
 	nodeShim := n.shim
 	r.mu.Unlock()
-	for _, call := range e.Syscalls {
+	for _, name := range e.Syscalls {
 		if on {
-			nodeShim.SetFailureProbability(syscalls[call], e.Probability)
+			nodeShim.SetFailureProbability(syscalls[name], e.Probability)
 		} else {
-			nodeShim.SetFailureProbability(syscalls[call], 0)
+			nodeShim.SetFailureProbability(syscalls[name], 0)
 		}
 	}
 	if !on {
@@ -272,7 +278,8 @@
 	}
 }
 
-// half tells on which side of a split a process is: that of the first zones, or of the first nodes where there is one zone.
+// isInFirstHalf reports whether a process is in the first half of a split: the first half of the zones, or with one
+// zone of the nodes and of the control machines.
 func (r *run) isInFirstHalf(index int) bool {
 	s := r.scenario
 	if s.Zones > 1 {
@@ -283,12 +290,12 @@
 	return index < s.Nodes/2
 }
 
-// generations tells that one of two processes is the other's control machine.
+// isParentAndChild reports whether one of two processes is a node and the other a control machine.
 func (r *run) isParentAndChild(i, j int) bool {
 	return r.scenario.ControlMachines > 0 && (i < r.scenario.Nodes) != (j < r.scenario.Nodes)
 }
 
-// wordWay is the way of words from one process to another, where there is one.
+// datagramDirections returns the direction of the datagrams from one process to another, or none if they exchange none.
 func (r *run) datagramDirections(from, to int) []*emulator.Direction {
 	switch n := r.scenario.Nodes; {
 	case r.isParentAndChild(from, to):
@@ -301,6 +308,7 @@
 	return nil // two nodes below control machines
 }
 
+// modeIf returns mode, or Pass if the fault is not on.
 func modeIf(on bool, mode emulator.Mode) emulator.Mode {
 	if on {
 		return mode
@@ -308,64 +316,67 @@
 	return emulator.Pass
 }
 
-// fault switches something on for a while, and counts what met it.
-func (r *run) switchFault(index int, directions []*emulator.Direction, set func(w *emulator.Direction, on bool), duration time.Duration) {
+// switchFault switches a fault of links on for a duration, and records the traffic that it affected.
+func (r *run) switchFault(index int, directions []*emulator.Direction,
+	set func(direction *emulator.Direction, on bool), duration time.Duration) {
 	countAffected := func() (n int) {
-		for _, w := range directions {
-			n += int(w.RandomFaults.Load() + w.Delayed.Load())
-			for i := range w.Affected {
-				n += int(w.Affected[i].Load())
+		for _, direction := range directions {
+			n += int(direction.RandomFaults.Load() + direction.Delayed.Load())
+			for i := range direction.Affected {
+				n += int(direction.Affected[i].Load())
 			}
 		}
 		return n
 	}
 	affectedBefore := countAffected()
-	for _, w := range directions {
-		set(w, true)
+	for _, direction := range directions {
+		set(direction, true)
 	}
 	r.sleep(duration)
 	r.recordEffect(index, countAffected()-affectedBefore)
-	for _, w := range directions {
-		set(w, false)
+	for _, direction := range directions {
+		set(direction, false)
 	}
 }
 
+// injectLinkFault impairs links of the event's nodes for a duration.
 func (r *run) injectLinkFault(index int, e Event, duration time.Duration) {
 	var directions []*emulator.Direction
 	nodes := r.selectNodes(e)
 	for _, n := range nodes {
-		for _, to := range []bool{true, false} {
-			if to && e.Direction == "from" || !to && e.Direction == "to" {
+		for _, toNode := range []bool{true, false} {
+			if toNode && e.Direction == "from" || !toNode && e.Direction == "to" {
 				continue
 			}
 			if e.Link != "peers" && e.Link != "children" {
-				directions = append(directions, r.direction(e.Link, n.index, to))
+				directions = append(directions, r.direction(e.Link, n.index, toNode))
 				continue
 			}
 			for other := range r.nodes {
 				if other == n.index || e.Link == "children" != r.isParentAndChild(other, n.index) {
 					continue
-				} else if to {
+				} else if toNode {
 					directions = append(directions, r.datagramDirections(other, n.index)...)
 				} else {
 					directions = append(directions, r.datagramDirections(n.index, other)...)
 				}
 			}
 		}
-		if e.Link == "clients" { // trouble at servers frees no request of its answer
+		if e.Link == "clients" { // with faults at other links the node still owes every request an answer
 			r.setDisturbed(n, true)
 		}
 	}
 	startedAt := time.Now()
-	r.switchFault(index, directions, func(w *emulator.Direction, on bool) {
-		if w.Set(modeIf(on, linkModes[e.Mode]), time.Duration(e.Delay)); !on {
-			w.Set(emulator.Pass, 0)
-			w.SetRandomFaults(0, 0, 0)
+	r.switchFault(index, directions, func(direction *emulator.Direction, on bool) {
+		if direction.Set(modeIf(on, linkModes[e.Mode]), time.Duration(e.Delay)); !on {
+			direction.Set(emulator.Pass, 0)
+			direction.SetRandomFaults(0, 0, 0)
 		} else {
-			w.SetRandomFaults(e.Loss, e.Duplicate, e.Reorder)
+			direction.SetRandomFaults(e.Loss, e.Duplicate, e.Reorder)
 		}
 	}, duration)
-	if isDelaying := e.Mode == "drop" || e.Mode == "stall" || e.Delay > 0; isDelaying && e.Link == "servers" { // a server whose answer is held back reads no end either
+	// A server whose answers are held back does not learn of the ends of attempts in time either.
+	if isDelaying := e.Mode == "drop" || e.Mode == "stall" || e.Delay > 0; isDelaying && e.Link == "servers" {
 		for _, n := range nodes {
 			r.checker.ServerLinksImpaired(n.index, startedAt, time.Now().Add(time.Duration(e.Delay)))
 		}
@@ -378,7 +389,7 @@
 	}
 }
 
-// restart ends a node's process, at once or in order, and starts it anew with nothing remembered after a while.
+// restart kills or stops a node's process, and after the event's Duration starts a new one without any state.
 func (r *run) restart(index int, e Event, n *node) {
 	p := r.currentProcess(n)
 	if e.AwaitReady {
@@ -405,7 +416,7 @@
 	r.setDisturbed(n, false)
 }
 
-// some gives the servers that an event is about: of those that are up.
+// selectServers returns a random fraction of the servers that are up.
 func (r *run) selectServers(e Event) (selected []*emulator.Server) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -421,7 +432,7 @@
 	return selected
 }
 
-// replace starts new servers, and has old ones drain and go.
+// replaceServers starts new servers, then drains and removes as many old ones.
 func (r *run) replaceServers(index int, e Event) {
 	old := r.selectServers(e)
 	r.stagger(e, len(old), func(i int) {
