--- a/lab/rig/nodes.go
+++ b/lab/rig/nodes.go
@@ -112,7 +112,8 @@
 		"settings": map[string]any{"balancers": max(r.scenario.Nodes, r.scenario.FleetSize), "index": n.index,
 			"tick_us": 5000, "membership_mode": "on_request",
 			"ceilings": map[string]any{"dial_timeout_us": 200000, "keepalive_us": 5000000, "max_open": 2000,
-				"max_retry_after_us": 1000000, "may_probe": true, "retry_after": true, "send_cap": 3, "peers": r.scenario.Quotas.Leased},
+				"max_retry_after_us": 1000000, "may_probe": true, "retry_after": true, "send_cap": 3,
+				"peers": r.scenario.Quotas.Leased},
 			"classes": r.classConfigs(),
 			"family_info": map[string]any{"message_aim_us": []float64{300000},
 				"tenant_quota_connections": []float64{r.expectedConnections()}},
@@ -191,24 +192,25 @@
 		r.fail("node %d does not start: %v", n.index, err)
 		return nil
 	}
-	p, err := r.starter.StartNode(r.options.Binary, n.index, cfg, prepare, func(p *process.Process, line map[string]any) {
-		for _, socket := range []string{"peers", "children"} {
-			address, ok := line["address"].(string)
-			if !ok || line["msg"] != "listening for "+socket {
-				continue
+	p, err := r.starter.StartNode(r.options.Binary, n.index, cfg, prepare,
+		func(started *process.Process, entry map[string]any) {
+			for _, socket := range []string{"peers", "children"} {
+				address, ok := entry["address"].(string)
+				if !ok || entry["msg"] != "listening for "+socket {
+					continue
+				}
+				addr, err := netip.ParseAddrPort(address)
+				switch {
+				case err != nil:
+				case r.scenario.ControlMachines == 0:
+					r.peerNetwork.SetNodeAddr(n.index, addr, isDuplicate)
+				case n.index < r.scenario.Nodes || socket == "children":
+					r.childNetwork.SetNodeAddr(n.index, addr, isDuplicate)
+				default:
+					r.peerNetwork.SetNodeAddr(n.index-r.scenario.Nodes, addr, isDuplicate)
+				}
 			}
-			addr, err := netip.ParseAddrPort(address)
-			switch {
-			case err != nil:
-			case r.scenario.ControlMachines == 0:
-				r.peerNetwork.SetNodeAddr(n.index, addr, isDuplicate)
-			case n.index < r.scenario.Nodes || socket == "children":
-				r.childNetwork.SetNodeAddr(n.index, addr, isDuplicate)
-			default:
-				r.peerNetwork.SetNodeAddr(n.index-r.scenario.Nodes, addr, isDuplicate)
-			}
-		}
-	})
+		})
 	if err != nil {
 		r.fail("node %d does not start: %v", n.index, err)
 		return nil
--- a/lab/rig/result.go
+++ b/lab/rig/result.go
@@ -161,11 +161,13 @@
 	for name, count := range r.counters { // violations that the program's own invariants prevented
 		if strings.HasPrefix(name, "rule_") && count > 0 {
 			result.Violations.Asserted += int(count)
-			result.History = append(result.History, fmt.Sprintf("%s: %.0f violations counted by the nodes", name, count))
+			result.History = append(result.History,
+				fmt.Sprintf("%s: %.0f violations counted by the nodes", name, count))
 		}
 	}
 	result.Totals["answered in time"], result.Totals["excused"] = r.checker.Answered, r.checker.Excused
-	result.Totals["attempts at cold servers"], result.Totals["further attempts"] = r.checker.SlowStartSends, r.checker.Retries
+	result.Totals["attempts at cold servers"], result.Totals["further attempts"] =
+		r.checker.SlowStartSends, r.checker.Retries
 	result.SlowStartUtilization = math.Round(r.checker.SlowStartUtilization*1000) / 1000
 	result.ListDelays, result.StartupTimes, result.Peaks = r.listDelays(listWaits,
 		func(n *node) time.Time { return n.listPendingSince }), r.startupTimes(), map[string]int{}
@@ -183,7 +185,7 @@
 	result.MaxLatenessMS = float64(r.maxLateness.Microseconds()) / 1000
 	if r.failure != "" {
 		result.InvalidReason = r.failure
-	} else if r.checker.Foreign > 0 { // another run at the same time has reused a port that one of our processes released
+	} else if r.checker.Foreign > 0 { // a concurrent run has reused a released port
 		result.InvalidReason = fmt.Sprintf("%d requests of another run arrived", r.checker.Foreign)
 	} else if r.maxLateness > latenessLimit {
 		result.InvalidReason = fmt.Sprintf("the harness was %v late", r.maxLateness.Round(time.Millisecond))
@@ -200,7 +202,8 @@
 	for i := range r.nodes {
 		datagrams, bytes := r.sentBy(i)
 		result.Datagrams.PerSecond, result.Datagrams.BytesPerSecond =
-			result.Datagrams.PerSecond+float64(datagrams)/seconds, result.Datagrams.BytesPerSecond+float64(bytes)/seconds
+			result.Datagrams.PerSecond+float64(datagrams)/seconds,
+			result.Datagrams.BytesPerSecond+float64(bytes)/seconds
 		result.Datagrams.MaxPerSecond = max(result.Datagrams.MaxPerSecond, float64(datagrams)/seconds)
 		result.Datagrams.MaxBytesPerSecond = max(result.Datagrams.MaxBytesPerSecond, float64(bytes)/seconds)
 	}
--- a/lab/rig/rig_test.go
+++ b/lab/rig/rig_test.go
@@ -156,8 +156,8 @@
 		{"dropped", []Event{{At: ms(4500), Kind: "link", Link: "peers", Direction: "both", Mode: "drop", Fraction: 0.4,
 			Duration: ms(2500)}, {At: ms(7500), Kind: "split", Duration: ms(2500)}}},
 		{"one way, lost, duplicated, reordered", []Event{{At: ms(4500), Kind: "link", Link: "peers", Direction: "from",
-			Mode: "drop", Fraction: 0.4, Duration: ms(2500)}, {At: ms(7500), Kind: "link", Link: "peers", Direction: "both",
-			Mode: "pass", Nodes: allNodes, Loss: 0.2, Duplicate: 0.3, Reorder: 0.3, Duration: ms(3000)}}},
+			Mode: "drop", Fraction: 0.4, Duration: ms(2500)}, {At: ms(7500), Kind: "link", Link: "peers",
+			Direction: "both", Mode: "pass", Nodes: allNodes, Loss: 0.2, Duplicate: 0.3, Reorder: 0.3, Duration: ms(3000)}}},
 		{"stalled and delayed", []Event{{At: ms(4500), Kind: "link", Link: "peers", Direction: "both", Mode: "stall",
 			Nodes: allNodes, Duration: ms(2500)}, {At: ms(8000), Kind: "link", Link: "peers", Direction: "both",
 			Mode: "pass", Delay: ms(400), Nodes: allNodes, Duration: ms(2000)}}},
@@ -243,8 +243,8 @@
 			t.Errorf("%+v: %d attempts at servers in slow start, %.2f of the limit in the fullest window", test,
 				result.Totals["attempts at cold servers"], result.SlowStartUtilization)
 		} else {
-			t.Logf("%+v: %d attempts at servers in slow start, %.2f of the limit in the fullest window, served %.3f", test,
-				result.Totals["attempts at cold servers"], result.SlowStartUtilization, result.Served)
+			t.Logf("%+v: %d attempts at servers in slow start, %.2f of the limit in the fullest window, served %.3f",
+				test, result.Totals["attempts at cold servers"], result.SlowStartUtilization, result.Served)
 		}
 	}
 }
@@ -267,7 +267,8 @@
 		}, 0},
 		// Clients are moved if they use leases at nodes that the split separates from the leader. In some runs there
 		// are none, and such a run proves nothing.
-		{"open", "open_per_customer", map[string]int{"most open of a customer": 12, "budget_leased": 0, "moved": 0}, nil, 3},
+		{"open", "open_per_customer", map[string]int{"most open of a customer": 12, "budget_leased": 0, "moved": 0},
+			nil, 3},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var missing []string
@@ -345,13 +346,14 @@
 			// nodes lease from control machines only.
 			unitsPassed := result.Counters["budget_passed"] > 0 || test.name == "control machines killed"
 			if !unitsPassed || result.Counters["budget_leased"] == 0 || result.Totals["attempts at cold servers"] < 10 {
-				t.Errorf("run proves nothing: %v units passed through control machines, %v leased, %d slow start attempts",
-					result.Counters["budget_passed"], result.Counters["budget_leased"], result.Totals["attempts at cold servers"])
+				t.Errorf("run proves nothing: %v units passed by control machines, %v leased, %d slow start attempts",
+					result.Counters["budget_passed"], result.Counters["budget_leased"],
+					result.Totals["attempts at cold servers"])
 			}
 			if test.name == "duplicate node index" && result.Counters["budget_twins"] == 0 {
 				t.Error("no process detected the duplicate")
 			}
-			t.Logf("%d slow start attempts; units: %v leased, %v lent, %v passed through control machines; late by %v ms",
+			t.Logf("%d slow start attempts; units: %v leased, %v lent, %v passed by control machines; late by %v ms",
 				result.Totals["attempts at cold servers"], result.Counters["budget_leased"],
 				result.Counters["budget_lent"], result.Counters["budget_passed"], result.MaxLatenessMS)
 		})
--- a/lab/rig/scenario.go
+++ b/lab/rig/scenario.go
@@ -59,7 +59,7 @@
 	BusyNodeWeight        float64 `toml:"uneven"`
 	MisbehavingPerSecond  float64 `toml:"odd"`    // misbehaving clients
 	NotIdempotentFraction float64 `toml:"unsafe"` // of the clients: their requests must not be repeated
-	KeyedFraction         float64 `toml:"keyed"`  // of the clients: servers drop repetitions of their requests for a while
+	KeyedFraction         float64 `toml:"keyed"`  // of the clients: servers drop repetitions for a while
 }
 
 // Server describes each server.
@@ -229,7 +229,8 @@
 		{"clients.uneven", clients.BusyNodeWeight >= 0 && clients.BusyNodeWeight <= 1000, "0 to 1000"},
 		{"clients.odd", clients.MisbehavingPerSecond >= 0 && clients.MisbehavingPerSecond <= 1000, "0 to 1000"},
 		{"clients.unsafe", clients.NotIdempotentFraction >= 0 && clients.KeyedFraction >= 0 &&
-			clients.NotIdempotentFraction+clients.KeyedFraction <= 1, "0 to 1, and at most 1 together with clients.keyed"},
+			clients.NotIdempotentFraction+clients.KeyedFraction <= 1,
+			"0 to 1, and at most 1 together with clients.keyed"},
 		{"server.holds", server.Capacity > 0, "over 0"},
 		{"server.cold_from", server.SlowStartMinCapacity > 0 && server.SlowStartMinCapacity <= 1, "over 0, at most 1"},
 		{"server.cold_for", server.SlowStartDuration > 0, "over 0"},
@@ -270,7 +271,8 @@
 			return fmt.Errorf("events[%d].nodes: %d is not 0 to %d", i, e.Nodes[s.unknownNodeIndex(e)],
 				s.Nodes+s.ControlMachines-1)
 		case e.Group != "" && (e.Group != "control" || s.ControlMachines == 0):
-			return fmt.Errorf("events[%d].of: %q is not control, or there are no control machines (%d)", i, e.Group, s.ControlMachines)
+			return fmt.Errorf("events[%d].of: %q is not control, or there are no control machines (%d)", i, e.Group,
+				s.ControlMachines)
 		case maxProbability > 1 || min(e.Loss, e.Duplicate, e.Reorder) < 0:
 			return fmt.Errorf("events[%d]: lose, twice and late must be 0 to 1", i)
 		case s.ListService.NotificationGrace > 0 && (e.Kind == "list_stuck" || e.Kind == "link" && e.Link == "list"):
@@ -298,7 +300,7 @@
 		case linkModes[e.Mode] == 0 && e.Mode != "pass":
 			return fmt.Errorf("events[%d].mode: %q is none of pass, drop, stall, reset, cut", i, e.Mode)
 		case maxProbability > 0 && e.Link != "peers" && e.Link != "children":
-			return fmt.Errorf("events[%d]: lose, twice and late are for peers and children, which exchange datagrams", i)
+			return fmt.Errorf("events[%d]: lose, twice and late are for peers and children, which use datagrams", i)
 		}
 	}
 	return nil
--- a/lab/rig/soak_test.go
+++ b/lab/rig/soak_test.go
@@ -15,7 +15,8 @@
 func TestGenerateSoakScenarios(t *testing.T) {
 	generated := map[string]int{}
 	for seed := range uint64(300) {
-		config := SoakConfig{MaxNodes: 4 + int(seed%40), Length: 8*time.Second + time.Duration(seed)*100*time.Millisecond}
+		config := SoakConfig{MaxNodes: 4 + int(seed%40),
+			Length: 8*time.Second + time.Duration(seed)*100*time.Millisecond}
 		scenario := config.Generate(seed)
 		if err := scenario.Check(); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
--- a/lab/rig/trouble.go
+++ b/lab/rig/trouble.go
@@ -106,7 +106,8 @@
 		for i := range r.nodes {
 			for j := range i {
 				if r.isInFirstHalf(i) != r.isInFirstHalf(j) {
-					directions = append(append(directions, r.datagramDirections(i, j)...), r.datagramDirections(j, i)...)
+					directions = append(append(directions, r.datagramDirections(i, j)...),
+						r.datagramDirections(j, i)...)
 				}
 			}
 		}
