--- a/lab/rig/client.go
+++ b/lab/rig/client.go
@@ -268,7 +268,7 @@
 			c.run.count("moved")
 			c.run.recordRebalance(n, id)
 			return false
-		case strings.HasPrefix(line, "UP "), strings.HasPrefix(line, "BUSY"):
+		case strings.HasPrefix(line, "UP "), strings.HasPrefix(line, "BUSY"): // a second final answer, a violation
 			c.run.checker.AnswerReceived(id, time.Now())
 		}
 	}
--- a/lab/rig/nodes.go
+++ b/lab/rig/nodes.go
@@ -172,8 +172,9 @@
 // runStart is the event index of the processes that start with the run.
 const runStart = -1
 
-// startNode starts a process of a node on behalf of an event and returns once it listens; nil if it cannot be started.
-// Its configuration has the current list, so the starts of servers in it are reported to the checker.
+// startNode starts a process of a node on behalf of an event and returns once it listens. It returns nil if the process
+// cannot be started. A process that exits or does not listen in time makes the run invalid. The configuration has the
+// current list, so the starts of servers in it are reported to the checker.
 func (r *run) startNode(event int, n *node, clockOffset time.Duration, isDuplicate bool) *process.Process {
 	if !isDuplicate {
 		r.checker.NodeRestarted(n.index)
--- a/lab/rig/odd.go
+++ b/lab/rig/odd.go
@@ -14,8 +14,8 @@
 	"brassmux/lab/emulator"
 )
 
-// maxIdleHold is how long a node may keep a client without a request: the 3 s that the client may use, and the slack of
-// the harness.
+// maxIdleHold is how long a node may keep a client without a request: the 3 s after which it must disconnect the
+// client, and the slack of the harness.
 const maxIdleHold = 3*time.Second + 300*time.Millisecond
 
 // misbehaviors are the kinds of misbehaving clients, which connect once. The names are part of the keys of
--- a/lab/rig/result.go
+++ b/lab/rig/result.go
@@ -18,7 +18,7 @@
 	Scenario string `json:"scenario"`
 	Seed     uint64 `json:"seed"`
 	Nodes    int    `json:"nodes"`
-	// InvalidReason tells why the run proves nothing; "" for a valid run.
+	// InvalidReason is why the run proves nothing; "" for a valid run.
 	InvalidReason string  `json:"void"`
 	MaxLatenessMS float64 `json:"late_ms"` // of the harness itself
 	// Served is the fraction of the wanted connection time in which the server was within its capacity.
@@ -45,11 +45,11 @@
 
 // ListDelays is the distribution of the time until a process was notified by the list service, in seconds.
 type ListDelays struct {
-	Starts  int     `json:"starts"`
+	Starts  int     `json:"starts"` // waits, ended or not
 	Median  float64 `json:"half"`
 	P99     float64 `json:"p99"`
 	Max     float64 `json:"all"`
-	Missing int     `json:"never"` // starts without a notification until the process or the run ended
+	Missing int     `json:"never"` // waits that had not ended at the end of the run
 }
 
 // StartupTimes is the distribution of the time from the start of a process to its first PONG, in seconds.
@@ -207,6 +207,7 @@
 		result.Datagrams.MaxPerSecond = max(result.Datagrams.MaxPerSecond, float64(datagrams)/seconds)
 		result.Datagrams.MaxBytesPerSecond = max(result.Datagrams.MaxBytesPerSecond, float64(bytes)/seconds)
 	}
+	// Adds the log excerpts of the first requests in the history. An ID follows the time, which takes 13 characters.
 	for _, line := range slices.Clone(result.History)[:min(len(result.History), 3)] {
 		id, _, _ := strings.Cut(strings.TrimSpace(line[min(13, len(line)):]), ",")
 		for _, p := range r.processes {
--- a/lab/rig/rig.go
+++ b/lab/rig/rig.go
@@ -72,8 +72,7 @@
 	toNode bool
 }
 
-// Run runs a scenario and returns its result. A run that proves nothing is not an error: Result.InvalidReason tells
-// why.
+// Run runs a scenario and returns its result. A run that proves nothing is not an error, but sets Result.InvalidReason.
 func Run(scenario *Scenario, options Options) (*Result, error) {
 	if options.Binary == "" {
 		executable, err := os.Executable()
@@ -108,9 +107,9 @@
 		RateLimits: scenario.Quotas.limits(), SlowStartWindow: time.Duration(server.OverloadWindow),
 		SlowStartDuration: time.Duration(server.SlowStartDuration),
 		SlowStartLimit: func(age time.Duration) float64 { // at the mean capacity over the window
-			meanShare := max(age.Seconds()-time.Duration(server.OverloadWindow).Seconds()/2, 0) /
+			elapsedFraction := max(age.Seconds()-time.Duration(server.OverloadWindow).Seconds()/2, 0) /
 				time.Duration(server.SlowStartDuration).Seconds()
-			capacityFraction := min(server.SlowStartMinCapacity+(1-server.SlowStartMinCapacity)*meanShare, 1)
+			capacityFraction := min(server.SlowStartMinCapacity+(1-server.SlowStartMinCapacity)*elapsedFraction, 1)
 			return server.OverloadFactor * time.Duration(server.OverloadWindow).Seconds() * capacityFraction *
 				expectedConnections / (float64(scenario.Servers) * time.Duration(server.SlowStartDuration).Seconds())
 		},
@@ -418,13 +417,13 @@
 func (r *run) sampleClients() {
 	const samplesPerSecond = 10
 	for r.sleep(time.Second / samplesPerSecond) {
-		loads := map[string]float64{}
+		utilization := map[string]float64{}
 		r.mu.Lock()
 		clients, servers := slices.Clone(r.clients), slices.Clone(r.servers)
 		r.mu.Unlock()
 		for _, s := range servers {
 			if !s.Leaving() {
-				loads[s.ID] = s.Utilization()
+				utilization[s.ID] = s.Utilization()
 			}
 		}
 		var sample Second
@@ -433,7 +432,7 @@
 			case !wanted:
 			case !connected:
 				sample.Waiting += 1.0 / samplesPerSecond
-			case loads[r.checker.LastServer(c.lastRequest())] <= 1:
+			case utilization[r.checker.LastServer(c.lastRequest())] <= 1:
 				sample.Served += 1.0 / samplesPerSecond
 			default:
 				sample.Overloaded += 1.0 / samplesPerSecond
@@ -446,7 +445,7 @@
 		}
 		total := &r.seconds[second]
 		total.Served, total.Overloaded, total.Waiting, total.Utilization = total.Served+sample.Served,
-			total.Overloaded+sample.Overloaded, total.Waiting+sample.Waiting, loads
+			total.Overloaded+sample.Overloaded, total.Waiting+sample.Waiting, utilization
 		r.clients = slices.DeleteFunc(r.clients, func(c *client) bool { return c.isFinished() })
 		r.mu.Unlock()
 	}
--- a/lab/rig/rig_test.go
+++ b/lab/rig/rig_test.go
@@ -157,7 +157,8 @@
 			Duration: ms(2500)}, {At: ms(7500), Kind: "split", Duration: ms(2500)}}},
 		{"one way, lost, duplicated, reordered", []Event{{At: ms(4500), Kind: "link", Link: "peers", Direction: "from",
 			Mode: "drop", Fraction: 0.4, Duration: ms(2500)}, {At: ms(7500), Kind: "link", Link: "peers",
-			Direction: "both", Mode: "pass", Nodes: allNodes, Loss: 0.2, Duplicate: 0.3, Reorder: 0.3, Duration: ms(3000)}}},
+			Direction: "both", Mode: "pass", Nodes: allNodes, Loss: 0.2, Duplicate: 0.3, Reorder: 0.3,
+			Duration: ms(3000)}}},
 		{"stalled and delayed", []Event{{At: ms(4500), Kind: "link", Link: "peers", Direction: "both", Mode: "stall",
 			Nodes: allNodes, Duration: ms(2500)}, {At: ms(8000), Kind: "link", Link: "peers", Direction: "both",
 			Mode: "pass", Delay: ms(400), Nodes: allNodes, Duration: ms(2000)}}},
@@ -171,9 +172,9 @@
 		t.Run(test.name, func(t *testing.T) {
 			scenario := loadScenario(t, "budgets")
 			scenario.Length, scenario.Clients.PerSecond = ms(13500), 100 // so that each fault affects many attempts
-			replace := scenario.Events[0]
-			replace.At = ms(4000)
-			scenario.Events = append([]Event{replace}, test.events...)
+			replaceServers := scenario.Events[0]
+			replaceServers.At = ms(4000)
+			scenario.Events = append([]Event{replaceServers}, test.events...)
 			result := runScenario(t, scenario, 1)
 			if result.Counters["budget_leased"] == 0 || result.Totals["attempts at cold servers"] < 10 {
 				t.Errorf("run proves nothing: %v units leased, %d attempts at servers in slow start",
@@ -338,9 +339,9 @@
 		t.Run(test.name, func(t *testing.T) {
 			scenario := loadScenario(t, "control")
 			scenario.Length, scenario.Clients.PerSecond = ms(13500), 100 // so that each fault affects many attempts
-			replace := scenario.Events[0]
-			replace.At = ms(4000)
-			scenario.Events = append([]Event{replace}, test.events...)
+			replaceServers := scenario.Events[0]
+			replaceServers.At = ms(4000)
+			scenario.Events = append([]Event{replaceServers}, test.events...)
 			result := runScenario(t, scenario, 1)
 			// A killed control machine does not report its counters. Units leased by the nodes are enough there, as
 			// nodes lease from control machines only.
--- a/lab/rig/scenario.go
+++ b/lab/rig/scenario.go
@@ -115,7 +115,7 @@
 	Kind     string   `toml:"do"`
 	Fraction float64  `toml:"part"`  // of the nodes or servers
 	Stagger  Duration `toml:"over"`  // the time over which the targets are hit one after another
-	Steps    int      `toml:"steps"` // groups in which they are hit; 0 means one by one
+	Steps    int      `toml:"steps"` // number of groups in which they are hit; 0 means one by one
 	// Duration is how long the fault lasts; with kill, stop and crash_servers the time until a replacement starts,
 	// with replace_servers how long an old server drains.
 	Duration Duration `toml:"for"`
--- a/lab/rig/sizes.go
+++ b/lab/rig/sizes.go
@@ -44,17 +44,17 @@
 // checkBounds sets ExceededBounds. The bounds are those that the operators' documentation gives for the usage with more
 // servers, relative to the usage at the baseline.
 func (r *SizeResult) checkBounds(baseline *SizeResult) {
-	thousands := float64(r.Servers) / 1000
+	thousandServers := float64(r.Servers) / 1000
 	for _, bound := range []struct {
 		name         string
 		value, limit float64
 	}{
-		{"processor time, s", r.CPUSeconds, 1.4*baseline.CPUSeconds + 0.02 + 0.03*thousands},
-		{"peak memory, MB", r.MemoryMB, 1.5*baseline.MemoryMB + 8 + 4*thousands},
+		{"processor time, s", r.CPUSeconds, 1.4*baseline.CPUSeconds + 0.02 + 0.03*thousandServers},
+		{"peak memory, MB", r.MemoryMB, 1.5*baseline.MemoryMB + 8 + 4*thousandServers},
 		{"descriptors", float64(r.Descriptors), 2*float64(baseline.Descriptors) + 40},
 		{"connections made to servers", float64(r.Connections), 2.5*float64(baseline.Connections) + 40},
-		{"bytes of lists", float64(r.ListBytes), 2*float64(baseline.ListBytes) + 64<<10 + 500_000*thousands},
-		{"part served", -r.Served, -0.85 * baseline.Served},
+		{"bytes of lists", float64(r.ListBytes), 2*float64(baseline.ListBytes) + 64<<10 + 500_000*thousandServers},
+		{"part served", -r.Served, -0.85 * baseline.Served}, // negated, as the bound is a minimum
 	} {
 		if bound.value > bound.limit {
 			r.ExceededBounds = append(r.ExceededBounds, fmt.Sprintf("%s: %.2f, %.2f allowed", bound.name,
--- a/lab/rig/soak.go
+++ b/lab/rig/soak.go
@@ -79,7 +79,7 @@
 func (g *generator) event(at time.Duration, nodes int, inheritSocket bool) Event {
 	e := Event{At: Duration(at), Nodes: g.nodeSubset(nodes), Stagger: g.duration(0, 0.5),
 		Duration: g.faultDuration(at, 0.3, 2)}
-	setKind := []func(){ // kinds that occur more than once are more likely
+	kindSetters := []func(){ // a kind that is listed more often is more likely
 		func() { e.Kind, e.Duration = "kill", g.duration(0.05, 0.4) },
 		func() { e.Kind, e.Duration = "stop", g.duration(0.01, 0.2) },
 		func() { e.Kind, e.Duration = "stop", g.duration(0.01, 0.2) },
@@ -119,9 +119,9 @@
 	}
 	if inheritSocket {
 		upgrade := func() { e.Kind = "upgrade" }
-		setKind = append(setKind, upgrade, upgrade, upgrade)
+		kindSetters = append(kindSetters, upgrade, upgrade, upgrade)
 	}
-	setKind[g.rng.IntN(len(setKind))]()
+	kindSetters[g.rng.IntN(len(kindSetters))]()
 	if slices.Contains([]string{"list_stuck", "link", "log_stuck", "clock_step", "syscalls", "hang_servers",
 		"spoil_servers", "list_down"}, e.Kind) {
 		e.Stagger = 0
--- a/lab/rig/trouble.go
+++ b/lab/rig/trouble.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// inject injects an event's fault and returns when it is over, or when what remains is left to a task of the run.
+// inject injects the fault of an event. It returns when the fault is over, or leaves the rest to tasks of the run.
 func (r *run) inject(index int, e Event) {
 	duration := time.Duration(e.Duration)
 	switch e.Kind {
@@ -262,7 +262,7 @@
 	n.shim.SetClockOffset(offset)
 }
 
-// setSyscallFailures makes system calls of a node's process fail at random, or ends that.
+// setSyscallFailures makes system calls of a node's process fail at random, or ends that and records the failed calls.
 func (r *run) setSyscallFailures(index int, e Event, n *node, on bool) {
 	r.mu.Lock()
 	nodeShim := n.shim
