--- a/lab/rig/nodes.go
+++ b/lab/rig/nodes.go
@@ -158,8 +158,8 @@
 	return peers
 }
 
-// classConfigs returns the classes in the nodes' settings, one for each kind of idempotency. The stand-in servers know
-// the first one by its name.
+// classConfigs returns the classes in the nodes' settings, one for each kind of idempotency. The first one has the
+// name that the stand-in servers expect.
 func (r *run) classConfigs() (configs []any) {
 	deadline := time.Duration(r.scenario.Clients.Deadline).Microseconds()
 	return append(configs,
--- a/lab/rig/rig_test.go
+++ b/lab/rig/rig_test.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"brassmux/lab/process/processtest"
-	// The tests build the program, which go test does not see: the import keeps it from reusing cached results after a
-	// change.
+	// The tests build the program, which go test does not track: the import keeps it from reusing cached results after
+	// a change.
 	_ "brassmux/node"
 )
 
--- a/lab/rig/scenario.go
+++ b/lab/rig/scenario.go
@@ -170,8 +170,8 @@
 }
 
 // unknownNodeIndex returns the position, in the nodes of an event, of the first that does not exist; -1 if all exist.
-func (s *Scenario) unknownNodeIndex(e Event) int {
-	return slices.IndexFunc(e.Nodes, func(n int) bool { return n < 0 || n >= s.Nodes+s.ControlMachines })
+func (s *Scenario) unknownNodeIndex(event Event) int {
+	return slices.IndexFunc(event.Nodes, func(n int) bool { return n < 0 || n >= s.Nodes+s.ControlMachines })
 }
 
 // eventKinds are the valid values of Event.Kind.
@@ -254,52 +254,53 @@
 			return fmt.Errorf("budgets.%s: must be 0 or more, and 0 without budgets.lease", key)
 		}
 	}
-	for i, e := range s.Events {
-		maxProbability := max(e.Loss, e.Duplicate, e.Reorder)
+	for i, event := range s.Events {
+		maxProbability := max(event.Loss, event.Duplicate, event.Reorder)
 		switch {
-		case !slices.Contains(eventKinds, e.Kind):
-			return fmt.Errorf("events[%d].do: %q is none of %s", i, e.Kind, strings.Join(eventKinds, ", "))
-		case e.At < 0 || e.At > s.Length:
+		case !slices.Contains(eventKinds, event.Kind):
+			return fmt.Errorf("events[%d].do: %q is none of %s", i, event.Kind, strings.Join(eventKinds, ", "))
+		case event.At < 0 || event.At > s.Length:
 			return fmt.Errorf("events[%d].at: must be within the length of the scenario", i)
-		case e.Fraction < 0 || e.Fraction > 1:
+		case event.Fraction < 0 || event.Fraction > 1:
 			return fmt.Errorf("events[%d].part: must be 0 to 1", i)
-		case e.Steps < 0:
+		case event.Steps < 0:
 			return fmt.Errorf("events[%d].steps: must be 0 or more", i)
-		case e.Duration < 0 || e.Stagger < 0 || e.Delay < 0:
+		case event.Duration < 0 || event.Stagger < 0 || event.Delay < 0:
 			return fmt.Errorf("events[%d]: for, over and delay must be 0 or more", i)
-		case s.unknownNodeIndex(e) >= 0:
-			return fmt.Errorf("events[%d].nodes: %d is not 0 to %d", i, e.Nodes[s.unknownNodeIndex(e)],
+		case s.unknownNodeIndex(event) >= 0:
+			return fmt.Errorf("events[%d].nodes: %d is not 0 to %d", i, event.Nodes[s.unknownNodeIndex(event)],
 				s.Nodes+s.ControlMachines-1)
-		case e.Group != "" && (e.Group != "control" || s.ControlMachines == 0):
-			return fmt.Errorf("events[%d].of: %q is not control, or there are no control machines (%d)", i, e.Group,
+		case event.Group != "" && (event.Group != "control" || s.ControlMachines == 0):
+			return fmt.Errorf("events[%d].of: %q is not control, or there are no control machines (%d)", i, event.Group,
 				s.ControlMachines)
-		case maxProbability > 1 || min(e.Loss, e.Duplicate, e.Reorder) < 0:
+		case maxProbability > 1 || min(event.Loss, event.Duplicate, event.Reorder) < 0:
 			return fmt.Errorf("events[%d]: lose, twice and late must be 0 to 1", i)
-		case s.ListService.NotificationGrace > 0 && (e.Kind == "list_stuck" || e.Kind == "link" && e.Link == "list"):
+		case s.ListService.NotificationGrace > 0 &&
+			(event.Kind == "list_stuck" || event.Kind == "link" && event.Link == "list"):
 			return fmt.Errorf("events[%d]: list.told does not allow faults of the list service at some nodes only", i)
-		case e.Probability < 0 || e.Probability > 1:
+		case event.Probability < 0 || event.Probability > 1:
 			return fmt.Errorf("events[%d].chance: must be 0 to 1", i)
-		case !s.UseShim && (e.Kind == "clock_step" || e.Kind == "syscalls"):
-			return fmt.Errorf("events[%d].do: %s needs shim = true", i, e.Kind)
-		case !s.InheritSocket && e.Kind == "upgrade":
+		case !s.UseShim && (event.Kind == "clock_step" || event.Kind == "syscalls"):
+			return fmt.Errorf("events[%d].do: %s needs shim = true", i, event.Kind)
+		case !s.InheritSocket && event.Kind == "upgrade":
 			return fmt.Errorf("events[%d].do: upgrade needs inherit = true", i)
-		case e.Kind == "syscalls" && (len(e.Syscalls) == 0 ||
-			slices.ContainsFunc(e.Syscalls, func(name string) bool { return syscalls[name] == 0 })):
-			return fmt.Errorf("events[%d].calls: %q must be some of accept, socket, connect", i, e.Syscalls)
-		case e.Kind != "link":
-		case !slices.Contains([]string{"peers", "children", "list", "servers", "clients"}, e.Link):
-			return fmt.Errorf("events[%d].link: %q is none of peers, children, list, servers, clients", i, e.Link)
-		case e.Link == "children" && s.ControlMachines == 0:
+		case event.Kind == "syscalls" && (len(event.Syscalls) == 0 ||
+			slices.ContainsFunc(event.Syscalls, func(name string) bool { return syscalls[name] == 0 })):
+			return fmt.Errorf("events[%d].calls: %q must be some of accept, socket, connect", i, event.Syscalls)
+		case event.Kind != "link":
+		case !slices.Contains([]string{"peers", "children", "list", "servers", "clients"}, event.Link):
+			return fmt.Errorf("events[%d].link: %q is none of peers, children, list, servers, clients", i, event.Link)
+		case event.Link == "children" && s.ControlMachines == 0:
 			return fmt.Errorf("events[%d].link: children needs control machines, and there are none", i)
-		case e.Link == "peers" && s.ControlMachines > 0 && e.Group != "control" && len(e.Nodes) == 0,
-			e.Link == "peers" &&
-				slices.ContainsFunc(e.Nodes, func(n int) bool { return s.ControlMachines > 0 && n < s.Nodes }):
+		case event.Link == "peers" && s.ControlMachines > 0 && event.Group != "control" && len(event.Nodes) == 0,
+			event.Link == "peers" &&
+				slices.ContainsFunc(event.Nodes, func(n int) bool { return s.ControlMachines > 0 && n < s.Nodes }):
 			return fmt.Errorf("events[%d].link: peers must be control machines, as the scenario has some", i)
-		case !slices.Contains([]string{"to", "from", "both"}, e.Direction):
-			return fmt.Errorf("events[%d].way: %q is none of to, from, both", i, e.Direction)
-		case linkModes[e.Mode] == 0 && e.Mode != "pass":
-			return fmt.Errorf("events[%d].mode: %q is none of pass, drop, stall, reset, cut", i, e.Mode)
-		case maxProbability > 0 && e.Link != "peers" && e.Link != "children":
+		case !slices.Contains([]string{"to", "from", "both"}, event.Direction):
+			return fmt.Errorf("events[%d].way: %q is none of to, from, both", i, event.Direction)
+		case linkModes[event.Mode] == 0 && event.Mode != "pass":
+			return fmt.Errorf("events[%d].mode: %q is none of pass, drop, stall, reset, cut", i, event.Mode)
+		case maxProbability > 0 && event.Link != "peers" && event.Link != "children":
 			return fmt.Errorf("events[%d]: lose, twice and late are for peers and children, which use datagrams", i)
 		}
 	}
--- a/lab/rig/trouble.go
+++ b/lab/rig/trouble.go
@@ -18,9 +18,9 @@
 }
 
 // selectNodes returns the nodes of an event: those that it names, or a random fraction.
-func (r *run) selectNodes(e Event) (nodes []*node) {
-	if len(e.Nodes) > 0 {
-		for _, i := range e.Nodes {
+func (r *run) selectNodes(event Event) (nodes []*node) {
+	if len(event.Nodes) > 0 {
+		for _, i := range event.Nodes {
 			nodes = append(nodes, r.nodes[i])
 		}
 		return nodes
@@ -28,10 +28,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	group := r.nodes[:r.scenario.Nodes]
-	if e.Group == "control" {
+	if event.Group == "control" {
 		group = r.nodes[r.scenario.Nodes:]
 	}
-	for _, i := range r.rng.Perm(len(group))[:countOf(len(group), e.Fraction)] {
+	for _, i := range r.rng.Perm(len(group))[:countOf(len(group), event.Fraction)] {
 		nodes = append(nodes, group[i])
 	}
 	return nodes
@@ -39,17 +39,17 @@
 
 // stagger calls hit for each of count targets, spread over the event's Stagger one by one or in its steps. It returns
 // when all calls have.
-func (r *run) stagger(e Event, count int, hit func(i int)) {
+func (r *run) stagger(event Event, count int, hit func(i int)) {
 	startedAt := time.Now()
 	done := make(chan struct{}, count)
 	for i := range count {
 		go func() {
 			defer func() { done <- struct{}{} }()
 			offset := float64(i) / float64(count)
-			if e.Steps > 0 {
-				offset = float64(i*e.Steps/count) / float64(e.Steps)
+			if event.Steps > 0 {
+				offset = float64(i*event.Steps/count) / float64(event.Steps)
 			}
-			if r.sleep(time.Until(startedAt.Add(time.Duration(float64(e.Stagger) * offset)))) {
+			if r.sleep(time.Until(startedAt.Add(time.Duration(float64(event.Stagger) * offset)))) {
 				hit(i)
 			}
 		}()
@@ -60,15 +60,15 @@
 }
 
 // inject injects the fault of an event. It returns when the fault is over, or leaves the rest to tasks of the run.
-func (r *run) inject(index int, e Event) {
-	duration := time.Duration(e.Duration)
-	switch e.Kind {
+func (r *run) inject(index int, event Event) {
+	duration := time.Duration(event.Duration)
+	switch event.Kind {
 	case "kill", "stop":
-		nodes := r.selectNodes(e)
-		r.stagger(e, len(nodes), func(i int) { r.restart(index, e, nodes[i]) })
+		nodes := r.selectNodes(event)
+		r.stagger(event, len(nodes), func(i int) { r.restart(index, event, nodes[i]) })
 	case "pause":
-		nodes := r.selectNodes(e)
-		r.stagger(e, len(nodes), func(i int) {
+		nodes := r.selectNodes(event)
+		r.stagger(event, len(nodes), func(i int) {
 			n := nodes[i]
 			p := r.currentProcess(n)
 			r.setDisturbed(n, true)
@@ -87,7 +87,7 @@
 			r.setDisturbed(n, false)
 		})
 	case "twin":
-		for _, n := range r.selectNodes(e) {
+		for _, n := range r.selectNodes(event) {
 			p := r.startNode(index, n, 0, true)
 			if p == nil {
 				return
@@ -115,12 +115,12 @@
 			direction.Set(modeIf(on, emulator.Drop), 0)
 		}, duration)
 	case "link":
-		r.injectLinkFault(index, e, duration)
+		r.injectLinkFault(index, event, duration)
 	case "replace_servers":
-		r.replaceServers(index, e)
+		r.replaceServers(index, event)
 	case "crash_servers", "hang_servers":
-		for _, s := range r.selectServers(e) {
-			if e.Kind == "hang_servers" {
+		for _, s := range r.selectServers(event) {
+			if event.Kind == "hang_servers" {
 				s.SetHanging(true)
 				r.tasks.Go(func() {
 					r.sleep(duration)
@@ -140,33 +140,33 @@
 			})
 		}
 	case "upgrade":
-		nodes := r.selectNodes(e)
-		r.stagger(e, len(nodes), func(i int) { r.upgrade(index, nodes[i]) })
+		nodes := r.selectNodes(event)
+		r.stagger(event, len(nodes), func(i int) { r.upgrade(index, nodes[i]) })
 	case "reload":
-		nodes := r.selectNodes(e)
-		r.stagger(e, len(nodes), func(i int) { r.reload(index, nodes[i]) })
+		nodes := r.selectNodes(event)
+		r.stagger(event, len(nodes), func(i int) { r.reload(index, nodes[i]) })
 	case "log_stuck":
-		r.applyFor(r.selectNodes(e), duration, func(n *node, p *process.Process, on bool) {
+		r.applyFor(r.selectNodes(event), duration, func(n *node, p *process.Process, on bool) {
 			if p.PauseLog(on); on {
 				r.recordEffect(index, 1)
 			}
 		})
 	case "clock_step":
-		r.applyFor(r.selectNodes(e), duration, func(n *node, p *process.Process, on bool) {
+		r.applyFor(r.selectNodes(event), duration, func(n *node, p *process.Process, on bool) {
 			if on {
-				r.setClockOffset(n, time.Duration(e.ClockOffset))
+				r.setClockOffset(n, time.Duration(event.ClockOffset))
 				r.recordEffect(index, 1)
 			} else {
 				r.setClockOffset(n, 0)
 			}
 		})
 	case "syscalls":
-		r.applyFor(r.selectNodes(e), duration, func(n *node, p *process.Process, on bool) {
-			r.setSyscallFailures(index, e, n, on)
+		r.applyFor(r.selectNodes(event), duration, func(n *node, p *process.Process, on bool) {
+			r.setSyscallFailures(index, event, n, on)
 		})
 	case "spoil_servers":
-		for _, s := range r.selectServers(e) {
-			s.SetMalformedFraction(e.Probability)
+		for _, s := range r.selectServers(event) {
+			s.SetMalformedFraction(event.Probability)
 			r.tasks.Go(func() {
 				r.sleep(duration)
 				s.SetMalformedFraction(0)
@@ -175,7 +175,7 @@
 		}
 	case "list_stuck": // the nodes' watches get stale lists
 		staleBefore := r.listService.StaleAnswers.Load()
-		nodes := r.selectNodes(e)
+		nodes := r.selectNodes(event)
 		for _, n := range nodes {
 			r.listService.SetStale(n.index, true)
 		}
@@ -263,13 +263,13 @@
 }
 
 // setSyscallFailures makes system calls of a node's process fail at random, or ends that and records the failed calls.
-func (r *run) setSyscallFailures(index int, e Event, n *node, on bool) {
+func (r *run) setSyscallFailures(index int, event Event, n *node, on bool) {
 	r.mu.Lock()
 	nodeShim := n.shim
 	r.mu.Unlock()
-	for _, name := range e.Syscalls {
+	for _, name := range event.Syscalls {
 		if on {
-			nodeShim.SetFailureProbability(syscalls[name], e.Probability)
+			nodeShim.SetFailureProbability(syscalls[name], event.Probability)
 		} else {
 			nodeShim.SetFailureProbability(syscalls[name], 0)
 		}
@@ -341,20 +341,20 @@
 }
 
 // injectLinkFault impairs links of the event's nodes for a duration.
-func (r *run) injectLinkFault(index int, e Event, duration time.Duration) {
+func (r *run) injectLinkFault(index int, event Event, duration time.Duration) {
 	var directions []*emulator.Direction
-	nodes := r.selectNodes(e)
+	nodes := r.selectNodes(event)
 	for _, n := range nodes {
 		for _, toNode := range []bool{true, false} {
-			if toNode && e.Direction == "from" || !toNode && e.Direction == "to" {
+			if toNode && event.Direction == "from" || !toNode && event.Direction == "to" {
 				continue
 			}
-			if e.Link != "peers" && e.Link != "children" {
-				directions = append(directions, r.direction(e.Link, n.index, toNode))
+			if event.Link != "peers" && event.Link != "children" {
+				directions = append(directions, r.direction(event.Link, n.index, toNode))
 				continue
 			}
 			for other := range r.nodes {
-				if other == n.index || e.Link == "children" != r.isParentAndChild(other, n.index) {
+				if other == n.index || event.Link == "children" != r.isParentAndChild(other, n.index) {
 					continue
 				} else if toNode {
 					directions = append(directions, r.datagramDirections(other, n.index)...)
@@ -363,26 +363,27 @@
 				}
 			}
 		}
-		if e.Link == "clients" { // with faults at other links the node still owes every request an answer
+		if event.Link == "clients" { // with faults at other links the node still owes every request an answer
 			r.setDisturbed(n, true)
 		}
 	}
 	startedAt := time.Now()
 	r.switchFault(index, directions, func(direction *emulator.Direction, on bool) {
-		if direction.Set(modeIf(on, linkModes[e.Mode]), time.Duration(e.Delay)); !on {
+		if direction.Set(modeIf(on, linkModes[event.Mode]), time.Duration(event.Delay)); !on {
 			direction.Set(emulator.Pass, 0)
 			direction.SetRandomFaults(0, 0, 0)
 		} else {
-			direction.SetRandomFaults(e.Loss, e.Duplicate, e.Reorder)
+			direction.SetRandomFaults(event.Loss, event.Duplicate, event.Reorder)
 		}
 	}, duration)
-	// A server whose answers are held back does not learn of the ends of attempts in time either.
-	if isDelaying := e.Mode == "drop" || e.Mode == "stall" || e.Delay > 0; isDelaying && e.Link == "servers" {
+	// With answers held back, a server also receives the ends of attempts late.
+	if isDelaying := event.Mode == "drop" || event.Mode == "stall" || event.Delay > 0; isDelaying &&
+		event.Link == "servers" {
 		for _, n := range nodes {
-			r.checker.ServerLinksImpaired(n.index, startedAt, time.Now().Add(time.Duration(e.Delay)))
+			r.checker.ServerLinksImpaired(n.index, startedAt, time.Now().Add(time.Duration(event.Delay)))
 		}
 	}
-	if e.Link == "clients" {
+	if event.Link == "clients" {
 		time.Sleep(100 * time.Millisecond)
 		for _, n := range nodes {
 			r.setDisturbed(n, false)
@@ -391,9 +392,9 @@
 }
 
 // restart kills or stops a node's process, and after the event's Duration starts a new one without any state.
-func (r *run) restart(index int, e Event, n *node) {
+func (r *run) restart(index int, event Event, n *node) {
 	p := r.currentProcess(n)
-	if e.AwaitReady {
+	if event.AwaitReady {
 		select {
 		case <-p.Ready:
 		case <-p.Exited:
@@ -402,7 +403,7 @@
 		}
 	}
 	r.setDisturbed(n, true)
-	if e.Kind == "kill" {
+	if event.Kind == "kill" {
 		if p.Kill() {
 			r.recordEffect(index, 1)
 		}
@@ -411,14 +412,14 @@
 			r.recordEffect(index, 1)
 		}
 	}
-	if r.sleep(time.Duration(e.Duration)) {
-		r.startNode(index, n, time.Duration(e.ClockOffset), false)
+	if r.sleep(time.Duration(event.Duration)) {
+		r.startNode(index, n, time.Duration(event.ClockOffset), false)
 	}
 	r.setDisturbed(n, false)
 }
 
 // selectServers returns a random fraction of the servers that are up.
-func (r *run) selectServers(e Event) (selected []*emulator.Server) {
+func (r *run) selectServers(event Event) (selected []*emulator.Server) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var upServers []*emulator.Server
@@ -427,16 +428,16 @@
 			upServers = append(upServers, s)
 		}
 	}
-	for _, i := range r.rng.Perm(len(upServers))[:countOf(len(upServers), e.Fraction)] {
+	for _, i := range r.rng.Perm(len(upServers))[:countOf(len(upServers), event.Fraction)] {
 		selected = append(selected, upServers[i])
 	}
 	return selected
 }
 
 // replaceServers starts new servers, then drains and removes as many old ones.
-func (r *run) replaceServers(index int, e Event) {
-	old := r.selectServers(e)
-	r.stagger(e, len(old), func(i int) {
+func (r *run) replaceServers(index int, event Event) {
+	old := r.selectServers(event)
+	r.stagger(event, len(old), func(i int) {
 		if err := r.newServer(time.Now().Truncate(time.Millisecond)); err != nil {
 			r.fail("a server does not start: %v", err)
 			return
@@ -447,7 +448,7 @@
 		r.reportLeaving(old[i], "draining")
 		old[i].Drain()
 		r.recordEffect(index, 1)
-		if r.sleep(time.Duration(e.Duration)) {
+		if r.sleep(time.Duration(event.Duration)) {
 			r.reportLeaving(old[i], "removed")
 			old[i].Stop()
 		}
