--- a/lab/rig/soak.go
+++ b/lab/rig/soak.go
@@ -9,7 +9,7 @@
 
 // SoakConfig has the bounds of generated scenarios.
 type SoakConfig struct {
-	MaxNodes int           // a scenario has half of them to all
+	MaxNodes int           // a scenario has at least half as many, and 4
 	Length   time.Duration // of a scenario
 }
 
