--- a/lab/rig/rig_test.go
+++ b/lab/rig/rig_test.go
@@ -384,8 +384,7 @@
 	}
 }
 
-// TestEventWithUnknownNodeIsRejected guards against a run with --nodes below a node that an event of the scenario
-// names.
+// TestEventWithUnknownNodeIsRejected guards against accepting --nodes with fewer nodes than the scenario's events name.
 func TestEventWithUnknownNodeIsRejected(t *testing.T) {
 	out, err := exec.Command(binary, "lab", "rig", "faults", "--nodes", "5").CombinedOutput()
 	exitErr, ok := err.(*exec.ExitError)
