--- a/cmd/brassmux/internal/cli/rig.go
+++ b/cmd/brassmux/internal/cli/rig.go
@@ -32,7 +32,8 @@
 		Short: "Start many processes of this program, put faults between them, and count at the receivers",
 		Long: "rig starts processes of this program on the loopback with stand-in servers, a list service and " +
 			"clients. Every link goes\nthrough the rig, which can drop, stall, delay, reset or cut what passes. A " +
-			"scenario is a file or one of\n" + strings.Join(rig.Kept(), ", ") + ".\nExit code 1 where a rule was " +
+			"scenario is a file or one of\n" + strings.Join(rig.EmbeddedNames(), ", ") +
+			".\nExit code 1 where a rule was " +
 			"broken or the run says nothing (void).",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, names []string) error {
@@ -85,13 +86,13 @@
 		if err := writeRigTable(stdout, scenario, result, options.seed); err != nil {
 			return err
 		}
-		if result.Void != "" {
-			fmt.Fprintf(stdout, "void: %s\n", result.Void)
+		if result.InvalidReason != "" {
+			fmt.Fprintf(stdout, "void: %s\n", result.InvalidReason)
 		}
-		if result.Broken.Any() {
-			fmt.Fprintf(stdout, "rules broken: %+v\n  %s\n", result.Broken, strings.Join(result.History, "\n  "))
+		if result.Violations.Any() {
+			fmt.Fprintf(stdout, "rules broken: %+v\n  %s\n", result.Violations, strings.Join(result.History, "\n  "))
 		}
-		failed = failed || result.Void != "" || result.Broken.Any()
+		failed = failed || result.InvalidReason != "" || result.Violations.Any()
 	}
 	if err := writeResults(options.jsonPath, allResults); err != nil {
 		return err
@@ -105,9 +106,9 @@
 func writeRigTable(stdout io.Writer, scenario *rig.Scenario, result *rig.Result, seed uint64) error {
 	table := newTable(stdout)
 	fmt.Fprintf(table, "%s\tseed %d, %d nodes\n", scenario.Name, seed, scenario.Nodes)
-	fmt.Fprintf(table, "  served\t%.3f\n  most that the rig was late\t%.0f ms\n", result.Served, result.Lateness)
-	fmt.Fprintf(table, "  fullest window of a cold server\t%.3f\n", result.ColdUsed)
-	for _, name := range result.Names() {
+	fmt.Fprintf(table, "  served\t%.3f\n  most that the rig was late\t%.0f ms\n", result.Served, result.MaxLatenessMS)
+	fmt.Fprintf(table, "  fullest window of a cold server\t%.3f\n", result.SlowStartUtilization)
+	for _, name := range result.TotalNames() {
 		fmt.Fprintf(table, "  %s\t%d\n", name, result.Totals[name])
 	}
 	writeRigTimes(table, scenario, result)
@@ -115,29 +116,30 @@
 		fmt.Fprintf(table, "  most %s in 1 s\t%d\n", kind, result.Peaks[kind])
 	}
 	for i, event := range scenario.Events {
-		fmt.Fprintf(table, "  %s acted\t%d\n", event.Do, result.Effects[i])
+		fmt.Fprintf(table, "  %s acted\t%d\n", event.Kind, result.EventEffects[i])
 	}
-	fmt.Fprintf(table, "  words between nodes, bytes a second\t%.0f, %.0f\n", result.Words.All, result.Words.Bytes)
+	fmt.Fprintf(table, "  words between nodes, bytes a second\t%.0f, %.0f\n", result.Datagrams.PerSecond,
+		result.Datagrams.BytesPerSecond)
 	return table.Flush()
 }
 
 // writeRigTimes writes how long nodes took to receive a server list, to become ready, and to receive a list again after
 // an outage of the discovery service.
 func writeRigTimes(table io.Writer, scenario *rig.Scenario, result *rig.Result) {
-	if lists := result.Lists; lists.Starts > 0 {
+	if lists := result.ListDelays; lists.Starts > 0 {
 		fmt.Fprintf(table, "  list after, half, 99%%, all\t%.1f, %.1f, %.1f s; %d of %d starts never\n",
-			lists.Half, lists.Most, lists.All, lists.Never, lists.Starts)
+			lists.Median, lists.P99, lists.Max, lists.Missing, lists.Starts)
 	}
-	for _, ready := range result.Ready {
+	for _, ready := range result.StartupTimes {
 		cause := "the day's start"
 		if ready.Event >= 0 {
-			cause = fmt.Sprintf("event %d, %s", ready.Event, scenario.Events[ready.Event].Do)
+			cause = fmt.Sprintf("event %d, %s", ready.Event, scenario.Events[ready.Event].Kind)
 		}
 		fmt.Fprintf(table, "  ready after, half, 90%%, all\t%.2f, %.2f, %.2f s; %d of %d starts never (%s)\n",
-			ready.Half, ready.NineInTen, ready.All, ready.Never, ready.Starts, cause)
+			ready.Median, ready.P90, ready.Max, ready.NeverReady, ready.Starts, cause)
 	}
-	if lists := result.Back; lists.Starts > 0 {
+	if lists := result.ListRecovery; lists.Starts > 0 {
 		fmt.Fprintf(table, "  list after its service is back\t%.1f, %.1f, %.1f s; %d of %d never\n",
-			lists.Half, lists.Most, lists.All, lists.Never, lists.Starts)
+			lists.Median, lists.P99, lists.Max, lists.Missing, lists.Starts)
 	}
 }
--- a/cmd/brassmux/internal/cli/sizes.go
+++ b/cmd/brassmux/internal/cli/sizes.go
@@ -15,7 +15,7 @@
 const maxSizesServers = 4000
 
 func newSizesCommand(stdout io.Writer) *cobra.Command {
-	var sizes rig.Sizes
+	var sizes rig.SizeTest
 	var jsonPath string
 	command := &cobra.Command{
 		Use: "sizes",
@@ -35,8 +35,8 @@
 		},
 	}
 	command.Flags().IntSliceVar(&sizes.Servers, "servers", []int{200, 3200}, "numbers of servers")
-	command.Flags().IntVar(&sizes.Fleet, "fleet", 300, "nodes of the fleet, of which one is played")
-	command.Flags().Float64Var(&sizes.PerSecond, "per-second", 20, "new clients")
+	command.Flags().IntVar(&sizes.FleetSize, "fleet", 300, "nodes of the fleet, of which one is played")
+	command.Flags().Float64Var(&sizes.ClientsPerSecond, "per-second", 20, "new clients")
 	command.Flags().DurationVar(&sizes.Length, "for", 25*time.Second, "length of each play")
 	command.Flags().Uint64Var(&sizes.Seed, "seed", 1, "for clients and changes")
 	command.Flags().StringVar(&sizes.Binary, "binary", "",
@@ -46,7 +46,7 @@
 }
 
 // checkSizes returns an error if a flag is out of range.
-func checkSizes(sizes *rig.Sizes) error {
+func checkSizes(sizes *rig.SizeTest) error {
 	for _, servers := range sizes.Servers {
 		if servers < 1 || servers > maxSizesServers {
 			return fmt.Errorf("--servers: %d is not between 1 and %d", servers, maxSizesServers)
@@ -55,7 +55,7 @@
 	if len(sizes.Servers) < 2 {
 		return errors.New("--servers: at least two numbers are required")
 	}
-	if sizes.Fleet < 1 || sizes.PerSecond <= 0 || sizes.Length < time.Second {
+	if sizes.FleetSize < 1 || sizes.ClientsPerSecond <= 0 || sizes.Length < time.Second {
 		return errors.New("--fleet must be at least 1, --per-second greater than 0 and --for at least 1s")
 	}
 	return nil
@@ -65,7 +65,7 @@
 
 // runSizes measures the node with each number of servers and prints the resources that it used. It returns an error if
 // a bound is exceeded.
-func runSizes(stdout io.Writer, sizes rig.Sizes, jsonPath string) error {
+func runSizes(stdout io.Writer, sizes rig.SizeTest, jsonPath string) error {
 	results, err := sizes.Run()
 	if err != nil {
 		return err
@@ -73,7 +73,7 @@
 	table := newTable(stdout)
 	fmt.Fprintln(table, "servers\tprocessor s\tmemory MB\tdescriptors\tconnections\tlist bytes\tserved")
 	for _, result := range results {
-		fmt.Fprintf(table, "%d\t%.2f\t%.1f\t%d\t%d\t%d\t%.3f\n", result.Servers, result.CPU, result.Memory,
+		fmt.Fprintf(table, "%d\t%.2f\t%.1f\t%d\t%d\t%d\t%.3f\n", result.Servers, result.CPUSeconds, result.MemoryMB,
 			result.Descriptors, result.Connections, result.ListBytes, result.Served)
 	}
 	if err := table.Flush(); err != nil {
@@ -81,9 +81,9 @@
 	}
 	exceeded := false
 	for _, result := range results {
-		if len(result.Over) > 0 {
+		if len(result.ExceededBounds) > 0 {
 			exceeded = true
-			fmt.Fprintf(stdout, "%d servers, over: %s\n", result.Servers, strings.Join(result.Over, "; "))
+			fmt.Fprintf(stdout, "%d servers, over: %s\n", result.Servers, strings.Join(result.ExceededBounds, "; "))
 		}
 	}
 	if err := writeResults(jsonPath, results); err != nil {
--- a/cmd/brassmux/internal/cli/slopes.go
+++ b/cmd/brassmux/internal/cli/slopes.go
@@ -66,7 +66,8 @@
 		sizes := measurement.Sizes()
 		formatMedian := func(size float64) string { return fmt.Sprintf("%.0f: %.4g", size, measurement.Median(size)) }
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%.3g +- %.2g\t%.3f\t%.2f +- %.2f\t%s\n",
-			measurement.Name, measurement.SizeOf, measurement.Unit, formatMedian(sizes[0]), formatMedian(sizes[len(sizes)-1]),
+			measurement.Name, measurement.SizeOf, measurement.Unit,
+			formatMedian(sizes[0]), formatMedian(sizes[len(sizes)-1]),
 			measurement.Fit.Slope, measurement.Fit.SlopeMargin, measurement.Fit.ResidualDeviation,
 			measurement.Fit.Exponent, measurement.Fit.ExponentMargin, measurement.Fit.Verdict)
 	}
--- a/cmd/brassmux/internal/cli/soak.go
+++ b/cmd/brassmux/internal/cli/soak.go
@@ -17,7 +17,7 @@
 
 // soakOptions holds the flags of the lab soak command.
 type soakOptions struct {
-	rig.Soak
+	rig.SoakConfig
 	firstSeed, seeds uint64
 	binary           string // path of the program to test; "" for this program
 	scenarioDir      string // directory for the scenario files of days that violated an invariant
@@ -43,7 +43,7 @@
 			return asCommandError(runSoak(stdout, &options))
 		},
 	}
-	command.Flags().IntVar(&options.Nodes, "nodes", 16, "processes, at the most; a day has from half of them on")
+	command.Flags().IntVar(&options.MaxNodes, "nodes", 16, "processes, at the most; a day has from half of them on")
 	command.Flags().DurationVar(&options.Length, "for", 15*time.Second, "length of a day")
 	command.Flags().Uint64Var(&options.firstSeed, "seed", 1, "the first seed")
 	command.Flags().Uint64Var(&options.seeds, "seeds", 5, "how many days to play")
@@ -58,8 +58,8 @@
 // check returns an error if a flag is out of range.
 func (o *soakOptions) check() error {
 	switch {
-	case o.Nodes < 4 || o.Nodes > 100:
-		return fmt.Errorf("--nodes: %d is not between 4 and 100", o.Nodes)
+	case o.MaxNodes < 4 || o.MaxNodes > 100:
+		return fmt.Errorf("--nodes: %d is not between 4 and 100", o.MaxNodes)
 	case o.Length < 8*time.Second || o.Length > time.Hour:
 		return fmt.Errorf("--for: %v is not between 8s and 1h", o.Length)
 	case o.seeds == 0 || o.seeds > 10000:
@@ -80,7 +80,7 @@
 	effectiveDays := map[string]int{} // number of days on which each kind of event had an effect
 	failed := false
 	for seed := options.firstSeed; seed < options.firstSeed+options.seeds; seed++ {
-		day := options.Draw(seed)
+		day := options.Generate(seed)
 		dayResults, err := runDay(day, seed, options.binary)
 		if err != nil {
 			return err
@@ -88,12 +88,12 @@
 		allResults = append(allResults, dayResults...)
 		lastResult := dayResults[len(dayResults)-1]
 		for i, event := range day.Events {
-			effectiveDays[event.Do] += min(lastResult.Effects[i], 1)
+			effectiveDays[event.Kind] += min(lastResult.EventEffects[i], 1)
 		}
 		if err := writeDay(stdout, options.scenarioDir, seed, day, lastResult); err != nil {
 			return err
 		}
-		failed = failed || lastResult.Void != "" || lastResult.Broken.Any()
+		failed = failed || lastResult.InvalidReason != "" || lastResult.Violations.Any()
 	}
 	fmt.Fprintf(stdout, "days by trouble that acted: %v\n", effectiveDays)
 	if err := writeResults(options.jsonPath, allResults); err != nil {
@@ -113,7 +113,7 @@
 			return nil, err
 		}
 		results = append(results, result)
-		if result.Void == "" {
+		if result.InvalidReason == "" {
 			break
 		}
 	}
@@ -125,21 +125,21 @@
 func writeDay(stdout io.Writer, dir string, seed uint64, day *rig.Scenario, result *rig.Result) error {
 	var events []string
 	for _, event := range day.Events {
-		events = append(events, event.Do)
+		events = append(events, event.Kind)
 	}
 	fmt.Fprintf(stdout, "seed %d: %d nodes, %d servers, served %.3f, up %d, late %.0f ms; %s\n", seed, day.Nodes,
-		day.Servers, result.Served, result.Totals["up"], result.Lateness, strings.Join(events, " "))
-	if result.Void != "" {
-		fmt.Fprintf(stdout, "  void: %s\n", result.Void)
+		day.Servers, result.Served, result.Totals["up"], result.MaxLatenessMS, strings.Join(events, " "))
+	if result.InvalidReason != "" {
+		fmt.Fprintf(stdout, "  void: %s\n", result.InvalidReason)
 	}
-	if !result.Broken.Any() {
+	if !result.Violations.Any() {
 		return nil
 	}
 	path, err := writeScenario(dir, day)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(stdout, "  rules broken: %+v (%s)\n  %s\n", result.Broken, path, strings.Join(result.History, "\n  "))
+	fmt.Fprintf(stdout, "  rules broken: %+v (%s)\n  %s\n", result.Violations, path, strings.Join(result.History, "\n  "))
 	return nil
 }
 
--- a/lab/rig/nodes.go
+++ b/lab/rig/nodes.go
@@ -16,252 +16,266 @@
 	"brassmux/lab/shim"
 )
 
-// node is a place among the nodes, through the starts of its processes.
+// node is a node or a control machine. It has one process at a time, two during an upgrade or with a duplicate.
 type node struct {
 	index     int
-	now       *process.Process
-	second    *process.Process // under the same name
-	began     time.Time        // this start, until it had word of the list
-	back      time.Time        // when the list service was back, until it had word of it
-	disturbed time.Time        // since when the rig does something to it; the zero time for not
-	shim      *shim.Shim       // under its process; nil where there is none
-	elsewhere bool             // its process asks the list service's other address
-	socket    *os.File         // on which its processes listen, one after the other; nil where each has its own
-	addr      string           // that socket's
-	folder    string           // where two of them meet in an upgrade
+	current   *process.Process
+	duplicate *process.Process // a second process with the same name
+	// listPendingSince is when the current process started, until the list service notifies it; then zero.
+	listPendingSince time.Time
+	// recoveryPendingSince is when the list service was reachable again, until it notifies the node; then zero.
+	recoveryPendingSince time.Time
+	disturbedSince       time.Time  // start of an injected fault; zero without one
+	shim                 *shim.Shim // of the current process; nil without one
+	usesAlternateList    bool       // the process calls the list service at its alternate address
+	// listenSocket is inherited by the node's processes in turn; nil if each process opens its own.
+	listenSocket *os.File
+	listenAddr   string // of listenSocket
+	handoverDir  string // where two processes meet during an upgrade
 }
 
 // listen opens the socket that a node's processes inherit.
 func (n *node) listen() error {
-	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return err
 	}
-	defer l.Close() // the file is a copy
-	n.addr = l.Addr().String()
-	if n.socket, err = l.File(); err != nil {
+	defer listener.Close() // File duplicates the descriptor
+	n.listenAddr = listener.Addr().String()
+	if n.listenSocket, err = listener.File(); err != nil {
 		return err
 	}
-	n.folder, err = os.MkdirTemp("", "n") // a socket's name must be short
+	n.handoverDir, err = os.MkdirTemp("", "n") // short, as the length of a socket's path is limited
 	return err
 }
 
-// close gives up what listen took.
+// close releases the socket and the directory of listen.
 func (n *node) close() {
-	if n.socket != nil {
-		n.socket.Close()
-		os.RemoveAll(n.folder)
+	if n.listenSocket != nil {
+		n.listenSocket.Close()
+		os.RemoveAll(n.handoverDir)
 	}
 }
 
-// inherits has a command that was not started yet inherit the node's socket.
-func (n *node) inherits(cmd *exec.Cmd) {
-	const firstExtra = 3
-	if n.socket != nil {
-		cmd.Env = append(cmd.Env, fmt.Sprintf("LB_LISTEN_FD=%d", firstExtra+len(cmd.ExtraFiles)), "TMPDIR="+n.folder)
-		cmd.ExtraFiles = append(cmd.ExtraFiles, n.socket)
+// inheritSocket makes a command that has not started yet inherit the node's socket.
+func (n *node) inheritSocket(cmd *exec.Cmd) {
+	const firstExtraFD = 3
+	if n.listenSocket != nil {
+		cmd.Env = append(cmd.Env, fmt.Sprintf("LB_LISTEN_FD=%d", firstExtraFD+len(cmd.ExtraFiles)),
+			"TMPDIR="+n.handoverDir)
+		cmd.ExtraFiles = append(cmd.ExtraFiles, n.listenSocket)
 	}
 }
 
-// under gives what is put under a process of a node that is started now, nil where the scenario wants nothing, and how its command is
-// prepared. The process is started under the wall clock that the node's machine has now.
-func (r *rig) under(n *node, event int) (*shim.Shim, func(*exec.Cmd), error) {
-	if r.library == nil {
-		return nil, n.inherits, nil
+// newShim returns the shim for a process of a node that is about to start, nil if the scenario uses none, and the
+// function that prepares its command. The shim starts with the current clock offset of the node.
+func (r *run) newShim(n *node, event int) (*shim.Shim, func(*exec.Cmd), error) {
+	if r.shimLibrary == nil {
+		return nil, n.inheritSocket, nil
 	}
-	s, err := r.library.NewShim(r.o.Seed<<16 + uint64(n.index)<<8 + uint64(event+1))
+	nodeShim, err := r.shimLibrary.NewShim(r.options.Seed<<16 + uint64(n.index)<<8 + uint64(event+1))
 	if err != nil {
 		return nil, nil, err
 	}
 	r.mu.Lock()
 	if n.shim != nil {
-		s.SetClockOffset(n.shim.ClockOffset())
+		nodeShim.SetClockOffset(n.shim.ClockOffset())
 	}
 	r.mu.Unlock()
-	return s, func(cmd *exec.Cmd) {
-		r.library.Prepare(s, cmd)
-		n.inherits(cmd)
+	return nodeShim, func(cmd *exec.Cmd) {
+		r.shimLibrary.Prepare(nodeShim, cmd)
+		n.inheritSocket(cmd)
 	}, nil
 }
 
-func (r *rig) config(n *node, clock time.Duration) map[string]any {
-	v := r.s.Server
-	version, known := r.list.Snapshot(n.index)
-	up := []emulator.Endpoint{}
-	if r.s.List.Unknown {
-		version, known = 0, nil
+// nodeConfig returns the configuration of a node's process.
+func (r *run) nodeConfig(n *node, clockOffset time.Duration) map[string]any {
+	server := r.scenario.Server
+	version, servers := r.listService.Snapshot(n.index)
+	upServers := []emulator.Endpoint{}
+	if r.scenario.ListService.EmptyInitialList {
+		version, servers = 0, nil
 	}
-	for _, e := range known {
-		if e.State == "up" {
-			up = append(up, e)
+	for _, endpoint := range servers {
+		if endpoint.State == "up" {
+			upServers = append(upServers, endpoint)
 		}
 	}
 	r.mu.Lock()
 	seed := fmt.Sprintf("%016x", r.rng.Uint64())
 	r.mu.Unlock()
-	us := func(d Dur) int64 { return time.Duration(d).Microseconds() }
-	cfg := map[string]any{"name": fmt.Sprintf("n%d", n.index), "listen": "127.0.0.1:0", "discovery": r.list.Addr(), "seed": seed, "source": emulator.SourceAddr(n.index).String(),
+	microseconds := func(duration Duration) int64 { return time.Duration(duration).Microseconds() }
+	cfg := map[string]any{"name": fmt.Sprintf("n%d", n.index), "listen": "127.0.0.1:0",
+		"discovery": r.listService.Addr(), "seed": seed, "source": emulator.SourceAddr(n.index).String(),
 		"limits": map[string]any{"cores": 1, "sockets": 4096},
-		"known":  map[string]any{"version": version, "full": true, "servers": up},
-		"settings": map[string]any{"balancers": max(r.s.Nodes, r.s.Fleet), "index": n.index, "tick_us": 5000, "membership_mode": "on_request",
-			"ceilings": map[string]any{"dial_timeout_us": 200000, "keepalive_us": 5000000, "max_open": 2000, "max_retry_after_us": 1000000,
-				"may_probe": true, "retry_after": true, "send_cap": 3, "peers": r.s.Budgets.Lease},
-			"classes":     r.classes(),
-			"family_info": map[string]any{"message_aim_us": []float64{300000}, "tenant_quota_connections": []float64{r.connections()}},
-			"report":      map[string]any{"fields": []string{"x0"}, "via": "probe"},
-			"rules": map[string]any{"cold_from": v.ColdFrom, "cold_us": us(v.ColdFor), "fall_multiple": v.FallMultiple,
-				"fall_us": us(v.FallWindow)}}}
-	if n.socket != nil {
-		cfg["listen"] = n.addr
+		"known":  map[string]any{"version": version, "full": true, "servers": upServers},
+		"settings": map[string]any{"balancers": max(r.scenario.Nodes, r.scenario.FleetSize), "index": n.index,
+			"tick_us": 5000, "membership_mode": "on_request",
+			"ceilings": map[string]any{"dial_timeout_us": 200000, "keepalive_us": 5000000, "max_open": 2000,
+				"max_retry_after_us": 1000000, "may_probe": true, "retry_after": true, "send_cap": 3,
+				"peers": r.scenario.Quotas.Leased},
+			"classes": r.classConfigs(),
+			"family_info": map[string]any{"message_aim_us": []float64{300000},
+				"tenant_quota_connections": []float64{r.expectedConnections()}},
+			"report": map[string]any{"fields": []string{"x0"}, "via": "probe"},
+			"rules": map[string]any{"cold_from": server.SlowStartMinCapacity,
+				"cold_us": microseconds(server.SlowStartDuration), "fall_multiple": server.OverloadFactor,
+				"fall_us": microseconds(server.OverloadWindow)}}}
+	if n.listenSocket != nil {
+		cfg["listen"] = n.listenAddr
 	}
-	if clock != 0 {
-		cfg["lab"] = map[string]any{"clock_off_ms": clock.Milliseconds()}
+	if clockOffset != 0 {
+		cfg["lab"] = map[string]any{"clock_off_ms": clockOffset.Milliseconds()}
 	}
-	if r.s.Budgets.Lease {
-		cfg["peers"] = r.peers(n.index)
-		cfg["budgets"] = map[string]any{"lease": true, "floor": r.s.Budgets.Floor}
-		for key, n := range r.s.Budgets.rates() {
-			cfg["budgets"].(map[string]any)[key] = n
+	if r.scenario.Quotas.Leased {
+		cfg["peers"] = r.peerConfig(n.index)
+		cfg["budgets"] = map[string]any{"lease": true, "floor": r.scenario.Quotas.GuaranteedFraction}
+		for key, limit := range r.scenario.Quotas.limits() {
+			cfg["budgets"].(map[string]any)[key] = limit
 		}
-		cfg["budgets"].(map[string]any)["open_lease_ms"] = time.Duration(r.s.Budgets.OpenLease).Milliseconds()
+		cfg["budgets"].(map[string]any)["open_lease_ms"] = time.Duration(r.scenario.Quotas.OpenLeaseTerm).Milliseconds()
 	}
 	return cfg
 }
 
-// peers are the ways between the processes as one of them is told.
-func (r *rig) peers(index int) map[string]any {
-	s, p, addrs := r.s, map[string]any{"listen": "127.0.0.1:0"}, []string{}
-	if s.Control > 0 && index < s.Nodes {
-		for _, c := range s.preference(index) {
-			addrs = append(addrs, r.below.Addr(c))
+// peerConfig returns the addresses over which a process exchanges leases with the others.
+func (r *run) peerConfig(index int) map[string]any {
+	scenario, peers, addrs := r.scenario, map[string]any{"listen": "127.0.0.1:0"}, []string{}
+	if scenario.ControlMachines > 0 && index < scenario.Nodes {
+		for _, control := range scenario.controlMachinesByZone(index) {
+			addrs = append(addrs, r.childNetwork.Addr(control))
 		}
-		p["control"] = addrs
-		return p
+		peers["control"] = addrs
+		return peers
 	}
-	for i := range s.group() {
-		addrs = append(addrs, r.words.Addr(i))
+	for i := range scenario.peerCount() {
+		addrs = append(addrs, r.peerNetwork.Addr(i))
 	}
-	p["nodes"] = addrs
-	if s.Control > 0 {
-		p["children"], p["index"] = "127.0.0.1:0", index-s.Nodes
+	peers["nodes"] = addrs
+	if scenario.ControlMachines > 0 {
+		peers["children"], peers["index"] = "127.0.0.1:0", index-scenario.Nodes
 	}
-	return p
+	return peers
 }
 
-// classes are those of the nodes' settings: one of each effect, of which the first is named like the servers' stand-ins know it.
-func (r *rig) classes() (all []any) {
-	deadline := time.Duration(r.s.Clients.Deadline).Microseconds()
-	return append(all,
+// classConfigs returns the classes in the nodes' settings, one for each kind of idempotency. The first one has the
+// name that the stand-in servers expect.
+func (r *run) classConfigs() (configs []any) {
+	deadline := time.Duration(r.scenario.Clients.Deadline).Microseconds()
+	return append(configs,
 		map[string]any{"name": className(checker.Idempotent), "effect": "read_like", "deadline_us": deadline},
 		map[string]any{"name": className(checker.NotIdempotent), "effect": "non_idempotent", "deadline_us": deadline},
 		map[string]any{"name": className(checker.KeyedIdempotent), "effect": "idempotency_key", "key_scope": "all",
-			"window_us": keyedWindow.Microseconds(), "deadline_us": deadline})
+			"window_us": idempotencyWindow.Microseconds(), "deadline_us": deadline})
 }
 
-// dayStart stands for the event of the day's start.
-const dayStart = -1
+// runStart is the event index of the processes that start with the run.
+const runStart = -1
 
-// startNode starts a process of a node, as an event has it, and returns once it serves. Its known list is the service's as it is, so what it is
-// told thereby counts as told.
-func (r *rig) startNode(event int, n *node, clock time.Duration, second bool) *process.Process {
-	if !second {
-		r.ref.NodeRestarted(n.index)
+// startNode starts a process of a node on behalf of an event and returns once it listens. It returns nil if the process
+// cannot be started. A process that exits or does not listen in time makes the run invalid. The configuration has the
+// current list, so the starts of servers in it are reported to the checker.
+func (r *run) startNode(event int, n *node, clockOffset time.Duration, isDuplicate bool) *process.Process {
+	if !isDuplicate {
+		r.checker.NodeRestarted(n.index)
 		r.mu.Lock()
-		n.began = time.Now()
+		n.listPendingSince = time.Now()
 		r.mu.Unlock()
 	}
-	cfg, begun := r.config(n, clock), time.Now()
-	for _, e := range cfg["known"].(map[string]any)["servers"].([]emulator.Endpoint) {
-		if e.Started > 0 {
-			r.ref.EndpointReported(n.index, e.ID, false, time.UnixMilli(e.Started), time.Now())
+	cfg, startedAt := r.nodeConfig(n, clockOffset), time.Now()
+	for _, endpoint := range cfg["known"].(map[string]any)["servers"].([]emulator.Endpoint) {
+		if endpoint.Started > 0 {
+			r.checker.EndpointReported(n.index, endpoint.ID, false, time.UnixMilli(endpoint.Started), time.Now())
 		}
 	}
-	under, prepare, err := r.under(n, event)
+	nodeShim, prepare, err := r.newShim(n, event)
 	if err != nil {
 		r.fail("node %d does not start: %v", n.index, err)
 		return nil
 	}
-	p, err := r.starter.StartNode(r.o.Binary, n.index, cfg, prepare, func(p *process.Process, line map[string]any) {
-		for _, kind := range []string{"peers", "children"} {
-			at, ok := line["address"].(string)
-			if !ok || line["msg"] != "listening for "+kind {
-				continue
-			}
-			addr, err := netip.ParseAddrPort(at)
-			switch {
-			case err != nil:
-			case r.s.Control == 0:
-				r.words.SetNodeAddr(n.index, addr, second)
-			case n.index < r.s.Nodes || kind == "children":
-				r.below.SetNodeAddr(n.index, addr, second)
-			default:
-				r.words.SetNodeAddr(n.index-r.s.Nodes, addr, second)
+	p, err := r.starter.StartNode(r.options.Binary, n.index, cfg, prepare,
+		func(started *process.Process, entry map[string]any) {
+			for _, socket := range []string{"peers", "children"} {
+				address, ok := entry["address"].(string)
+				if !ok || entry["msg"] != "listening for "+socket {
+					continue
+				}
+				addr, err := netip.ParseAddrPort(address)
+				switch {
+				case err != nil:
+				case r.scenario.ControlMachines == 0:
+					r.peerNetwork.SetNodeAddr(n.index, addr, isDuplicate)
+				case n.index < r.scenario.Nodes || socket == "children":
+					r.childNetwork.SetNodeAddr(n.index, addr, isDuplicate)
+				default:
+					r.peerNetwork.SetNodeAddr(n.index-r.scenario.Nodes, addr, isDuplicate)
+				}
 			}
-		}
-	})
+		})
 	if err != nil {
 		r.fail("node %d does not start: %v", n.index, err)
 		return nil
 	}
-	if under != nil {
-		go under.Serve()
+	if nodeShim != nil {
+		go nodeShim.Serve()
 	}
 	r.mu.Lock()
-	if !second {
-		n.shim = under
+	if !isDuplicate {
+		n.shim = nodeShim
 	}
-	r.starting++
-	if r.logs = append(r.logs, p); second {
-		n.second = p
+	r.startingCount++
+	if r.processes = append(r.processes, p); isDuplicate {
+		n.duplicate = p
 	} else {
-		n.now = p
+		n.current = p
 	}
 	r.mu.Unlock()
-	r.work.Go(func() { r.awaitReady(event, p, begun) })
+	r.tasks.Go(func() { r.awaitReady(event, p, startedAt) })
 	select {
 	case <-p.Listening:
 	case <-p.Exited:
-		if !p.StopRequested() { // else another event met it as it started
-			r.fail("node %d ended at its start: %s", n.index, p.LogExcerpt(""))
+		if !p.StopRequested() { // by another event during its start
+			r.fail("node %d exited during its start: %s", n.index, p.LogExcerpt(""))
 		}
 	case <-time.After(30 * time.Second):
-		r.fail("node %d does not serve within 30 s", n.index)
+		r.fail("node %d does not listen within 30 s", n.index)
 	}
 	return p
 }
 
-// disturb notes that the rig does something to a node from now on, or no more.
-func (r *rig) disturb(n *node, on bool) {
+// setDisturbed records that a fault at a node begins or ends, and reports its interval to the checker at the end.
+func (r *run) setDisturbed(n *node, disturbed bool) {
 	r.mu.Lock()
-	from := n.disturbed
-	if on && from.IsZero() {
-		n.disturbed = time.Now()
-	} else if !on {
-		n.disturbed = time.Time{}
+	since := n.disturbedSince
+	if disturbed && since.IsZero() {
+		n.disturbedSince = time.Now()
+	} else if !disturbed {
+		n.disturbedSince = time.Time{}
 	}
 	r.mu.Unlock()
-	if !on && !from.IsZero() {
-		r.ref.NodeDisturbed(n.index, from, time.Now())
+	if !disturbed && !since.IsZero() {
+		r.checker.NodeDisturbed(n.index, since, time.Now())
 	}
 }
 
-func (r *rig) process(n *node) *process.Process {
+func (r *run) currentProcess(n *node) *process.Process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return n.now
+	return n.current
 }
 
-func (r *rig) killAll() {
+// killAll kills all processes that are still running and waits for their end.
+func (r *run) killAll() {
 	r.mu.Lock()
-	all := slices.Clone(r.logs)
+	processes := slices.Clone(r.processes)
 	r.mu.Unlock()
-	var gone sync.WaitGroup
-	for _, p := range all {
+	var kills sync.WaitGroup
+	for _, p := range processes {
 		select {
 		case <-p.Exited:
 		default:
-			gone.Go(func() { p.Kill() })
+			kills.Go(func() { p.Kill() })
 		}
 	}
-	gone.Wait()
+	kills.Wait()
 }
--- a/lab/rig/result.go
+++ b/lab/rig/result.go
@@ -13,204 +13,224 @@
 	"brassmux/lab/process"
 )
 
-// Result is what a run has counted.
+// Result is what a run has measured.
 type Result struct {
-	Scenario string             `json:"scenario"`
-	Seed     uint64             `json:"seed"`
-	Nodes    int                `json:"nodes"`
-	Void     string             `json:"void"`      // why the run says nothing; "" where it does
-	Lateness float64            `json:"late_ms"`   // the most by which the rig itself was late
-	Served   float64            `json:"served"`    // part of the time wanted in which clients stood at a server within what it can do
-	Broken   checker.Violations `json:"broken"`    // rules
-	ColdUsed float64            `json:"cold_used"` // the fullest window of a cold server, what came over what may come
-	Totals   map[string]int     `json:"totals"`    // counted at clients, servers and the list service
-	Effects  []int              `json:"effects"`   // by event: how often it was seen to act at who met it
-	Counters map[string]float64 `json:"counters"`  // the nodes' own, summed over all processes that told theirs
-	Words    Words              `json:"words"`
-	Seconds  []Second           `json:"seconds"` // the day, second by second
-	Lists    Lists              `json:"lists"`
-	Ready    []Ready            `json:"ready"`   // first the day's start, then each event that started processes
-	Back     Lists              `json:"back"`    // the same, from when the list service was back
-	Peaks    map[string]int     `json:"peaks"`   // the most in any second: of calls for the list, and at any one server
-	History  []string           `json:"history"` // of what broke a rule, the first few, and the logs of the nodes in it
+	Scenario string `json:"scenario"`
+	Seed     uint64 `json:"seed"`
+	Nodes    int    `json:"nodes"`
+	// InvalidReason is why the run proves nothing; "" for a valid run.
+	InvalidReason string  `json:"void"`
+	MaxLatenessMS float64 `json:"late_ms"` // of the harness itself
+	// Served is the fraction of the wanted connection time in which the server was within its capacity.
+	Served     float64            `json:"served"`
+	Violations checker.Violations `json:"broken"`
+	// SlowStartUtilization is the maximum, over all windows, of the attempts at a server in slow start over the limit.
+	SlowStartUtilization float64        `json:"cold_used"`
+	Totals               map[string]int `json:"totals"` // counters of the clients, the servers and the list service
+	// EventEffects is how often each event was observed to affect its targets.
+	EventEffects []int `json:"effects"`
+	// Counters are the counters of the nodes, summed over all processes that reported them.
+	Counters   map[string]float64 `json:"counters"`
+	Datagrams  DatagramRates      `json:"words"`
+	Seconds    []Second           `json:"seconds"` // each second of the run
+	ListDelays ListDelays         `json:"lists"`   // from the start of a process
+	// StartupTimes has an entry for the start of the run, then one for each event that started processes.
+	StartupTimes []StartupTimes `json:"ready"`
+	ListRecovery ListDelays     `json:"back"` // from the end of an outage of the list service
+	// Peaks are the maxima in any second: of list calls, and of connections and health checks at one server.
+	Peaks map[string]int `json:"peaks"`
+	// History describes the first violations, and has excerpts from the logs of the nodes involved.
+	History []string `json:"history"`
 }
 
-// Lists tells how long processes of nodes were without word of the list service, in seconds from their starts.
-type Lists struct {
-	Starts int     `json:"starts"`
-	Half   float64 `json:"half"` // half of those that got it had it within
-	Most   float64 `json:"p99"`
-	All    float64 `json:"all"`
-	Never  int     `json:"never"` // none came as long as they ran
+// ListDelays is the distribution of the time until a process was notified by the list service, in seconds.
+type ListDelays struct {
+	Starts  int     `json:"starts"` // waits, ended or not
+	Median  float64 `json:"half"`
+	P99     float64 `json:"p99"`
+	Max     float64 `json:"all"`
+	Missing int     `json:"never"` // waits that had not ended at the end of the run
 }
 
-// Ready tells how long processes took from their starts until they first answered PONG, in seconds.
-type Ready struct {
-	Event     int     `json:"event"` // its place among the scenario's; -1 for the day's start
-	Starts    int     `json:"starts"`
-	Half      float64 `json:"half"` // half of those that did had done so within
-	NineInTen float64 `json:"nine_in_ten"`
-	All       float64 `json:"all"`
-	Never     int     `json:"never"` // ended, or the day did, before
+// StartupTimes is the distribution of the time from the start of a process to its first PONG, in seconds.
+type StartupTimes struct {
+	Event      int     `json:"event"` // index in the scenario; -1 for the start of the run
+	Starts     int     `json:"starts"`
+	Median     float64 `json:"half"`
+	P90        float64 `json:"nine_in_ten"`
+	Max        float64 `json:"all"`
+	NeverReady int     `json:"never"` // processes that were not ready when they or the run ended
 }
 
-// Second is where clients were in one second of the day, as means of ten looks, and how full servers were.
+// Second has the clients by state in one second of the run, as means of ten samples, and the load of the servers.
 type Second struct {
-	Served  float64 `json:"served"`  // stood at a server within what it can do
-	Crowded float64 `json:"crowded"` // stood at one beyond that
-	Waiting float64 `json:"waiting"` // stood nowhere
+	Served     float64 `json:"served"`  // connected to a server within its capacity
+	Overloaded float64 `json:"crowded"` // connected to an overloaded server
+	Waiting    float64 `json:"waiting"` // not connected
 
-	Loads map[string]float64 `json:"loads"` // by server: asked of it over what it can do, at the second's last look
+	// Utilization is the load over the capacity of each server at the last sample.
+	Utilization map[string]float64 `json:"loads"`
 }
 
-// Words counts what nodes told one another, a second.
-type Words struct {
-	All          float64 `json:"words"`
-	Bytes        float64 `json:"bytes"`
-	BusiestWords float64 `json:"busiest_words"` // sent by the node that sends most
-	BusiestBytes float64 `json:"busiest_bytes"`
+// DatagramRates are the datagrams and bytes per second that the processes sent one another.
+type DatagramRates struct {
+	PerSecond         float64 `json:"words"`
+	BytesPerSecond    float64 `json:"bytes"`
+	MaxPerSecond      float64 `json:"busiest_words"` // by one process
+	MaxBytesPerSecond float64 `json:"busiest_bytes"` // by one process
 }
 
-func mostInASecond(times []time.Time) (most int) {
-	times = slices.SortedFunc(slices.Values(times), time.Time.Compare) // others may still append to the slice
+// maxPerSecond returns the highest number of times within any second.
+func maxPerSecond(times []time.Time) (highest int) {
+	times = slices.SortedFunc(slices.Values(times), time.Time.Compare) // a copy, as the slice may still be appended to
 	first := 0
-	for i, at := range times {
-		for at.Sub(times[first]) >= time.Second {
+	for i, t := range times {
+		for t.Sub(times[first]) >= time.Second {
 			first++
 		}
-		most = max(most, i+1-first)
+		highest = max(highest, i+1-first)
 	}
-	return most
+	return highest
 }
 
-// lists sums up waits for the list, and those that have not ended.
-func (r *rig) lists(waits []time.Duration, since func(n *node) time.Time) Lists {
-	r.mu.Lock() // the list service still serves
+// listDelays returns the distribution of the waits for a notification by the list service. Since returns the start of a
+// node's wait that has not ended, or zero.
+func (r *run) listDelays(waits []time.Duration, since func(n *node) time.Time) ListDelays {
+	r.mu.Lock() // the list service still runs and calls onNotification
 	defer r.mu.Unlock()
 	waits = slices.Clone(waits)
-	l := Lists{Starts: len(waits)}
+	delays := ListDelays{Starts: len(waits)}
 	for _, n := range r.nodes {
 		if !since(n).IsZero() {
-			l.Starts, l.Never = l.Starts+1, l.Never+1
+			delays.Starts, delays.Missing = delays.Starts+1, delays.Missing+1
 		}
 	}
-	l.Half, l.Most, l.All = within(waits, 0.5), within(waits, 0.99), within(waits, 1)
-	return l
+	delays.Median, delays.P99, delays.Max = percentile(waits, 0.5), percentile(waits, 0.99), percentile(waits, 1)
+	return delays
 }
 
-// within gives the seconds within which a part of them was over; 0 where there are none.
-func within(waits []time.Duration, part float64) float64 {
-	if len(waits) == 0 {
+// percentile sorts durations and returns the smallest, in seconds, that is not exceeded by a fraction of them; 0 if
+// there are none.
+func percentile(durations []time.Duration, fraction float64) float64 {
+	if len(durations) == 0 {
 		return 0
 	}
-	slices.Sort(waits)
-	return math.Round(waits[max(int(math.Ceil(part*float64(len(waits)))), 1)-1].Seconds()*1000) / 1000
+	slices.Sort(durations)
+	return math.Round(durations[max(int(math.Ceil(fraction*float64(len(durations)))), 1)-1].Seconds()*1000) / 1000
 }
 
-func (r *rig) finish() *Result {
-	for _, n := range r.nodes { // counters are told on request
-		if p := r.process(n); p != nil {
-			r.disturb(n, false)
+// collectResult reads the counters of all processes, checks the history and returns the result of the run.
+func (r *run) collectResult() *Result {
+	for _, n := range r.nodes { // a process writes its counters on SIGUSR1
+		if p := r.currentProcess(n); p != nil {
+			r.setDisturbed(n, false)
 			p.Signal(syscall.SIGCONT)
 			p.Signal(syscall.SIGUSR1)
 		}
-		if n.second != nil {
-			n.second.Signal(syscall.SIGUSR1)
+		if n.duplicate != nil {
+			n.duplicate.Signal(syscall.SIGUSR1)
 		}
 	}
 	for _, n := range r.nodes {
-		for _, p := range []*process.Process{r.process(n), n.second} {
-			until := time.Now().Add(3 * time.Second)
-			for p != nil && time.Now().Before(until) && !p.CountersSettled() {
+		for _, p := range []*process.Process{r.currentProcess(n), n.duplicate} {
+			deadline := time.Now().Add(3 * time.Second)
+			for p != nil && time.Now().Before(deadline) && !p.CountersSettled() {
 				time.Sleep(5 * time.Millisecond)
 			}
 		}
 	}
-	for _, p := range r.logs {
-		for k, v := range p.Counters() {
-			r.sum[k] += v
+	for _, p := range r.processes {
+		for name, value := range p.Counters() {
+			r.counters[name] += value
 		}
 	}
-	delete(r.sum, "ts")
-	r.mu.Lock() // the stand-ins still serve, and count what they do
-	totals, effects, peaks := maps.Clone(r.totals), slices.Clone(r.effects), maps.Clone(r.peaks)
-	waits, backs := r.waits, r.backs
+	delete(r.counters, "ts")
+	r.mu.Lock() // the stand-ins still run and count
+	totals, effects, peaks := maps.Clone(r.totals), slices.Clone(r.effects), maps.Clone(r.peakTimes)
+	listWaits, recoveryWaits := r.listWaits, r.recoveryWaits
 	r.mu.Unlock()
-	res := &Result{Scenario: r.s.Name, Seed: r.o.Seed, Nodes: r.s.Nodes, Totals: totals, Effects: effects, Counters: r.sum}
-	res.Broken, res.History = r.ref.Check(time.Now())
-	for _, p := range r.logs {
-		if told := p.Crash(); told != "" {
-			res.Broken.Crashed++
-			res.History = append(res.History, fmt.Sprintf("node %d crashed:\n%s", p.Node, told))
+	result := &Result{Scenario: r.scenario.Name, Seed: r.options.Seed, Nodes: r.scenario.Nodes, Totals: totals,
+		EventEffects: effects, Counters: r.counters}
+	result.Violations, result.History = r.checker.Check(time.Now())
+	for _, p := range r.processes {
+		if crash := p.Crash(); crash != "" {
+			result.Violations.Crashed++
+			result.History = append(result.History, fmt.Sprintf("node %d crashed:\n%s", p.Node, crash))
 		}
 	}
-	for name, n := range r.sum { // what the program itself held back
-		if strings.HasPrefix(name, "rule_") && n > 0 {
-			res.Broken.Asserted += int(n)
-			res.History = append(res.History, fmt.Sprintf("%s: %.0f by the nodes' own count", name, n))
+	for name, count := range r.counters { // violations that the program's own invariants prevented
+		if strings.HasPrefix(name, "rule_") && count > 0 {
+			result.Violations.Asserted += int(count)
+			result.History = append(result.History,
+				fmt.Sprintf("%s: %.0f violations counted by the nodes", name, count))
 		}
 	}
-	res.Totals["answered in time"], res.Totals["excused"] = r.ref.Answered, r.ref.Excused
-	res.Totals["attempts at cold servers"], res.Totals["further attempts"] = r.ref.SlowStartSends, r.ref.Retries
-	res.ColdUsed = math.Round(r.ref.SlowStartUtilization*1000) / 1000
-	res.Lists, res.Ready, res.Peaks = r.lists(waits, func(n *node) time.Time { return n.began }), r.readies(), map[string]int{}
-	res.Back = r.lists(backs, func(n *node) time.Time { return n.back })
-	for what, times := range peaks {
-		kind, _, one := strings.Cut(what, " s-")
-		if one {
+	result.Totals["answered in time"], result.Totals["excused"] = r.checker.Answered, r.checker.Excused
+	result.Totals["attempts at cold servers"], result.Totals["further attempts"] =
+		r.checker.SlowStartSends, r.checker.Retries
+	result.SlowStartUtilization = math.Round(r.checker.SlowStartUtilization*1000) / 1000
+	result.ListDelays, result.StartupTimes, result.Peaks = r.listDelays(listWaits,
+		func(n *node) time.Time { return n.listPendingSince }), r.startupTimes(), map[string]int{}
+	result.ListRecovery = r.listDelays(recoveryWaits, func(n *node) time.Time { return n.recoveryPendingSince })
+	for name, times := range peaks {
+		kind, _, isPerServer := strings.Cut(name, " s-")
+		if isPerServer {
 			kind += " at one server"
 		}
-		res.Peaks[kind] = max(res.Peaks[kind], mostInASecond(times))
+		result.Peaks[kind] = max(result.Peaks[kind], maxPerSecond(times))
 	}
-	if r.s.Budgets.Open > 0 {
-		res.Totals["most open of a customer"] = r.ref.MaxOpen
+	if r.scenario.Quotas.OpenPerCustomer > 0 {
+		result.Totals["most open of a customer"] = r.checker.MaxOpen
 	}
-	res.Lateness = float64(r.late.Microseconds()) / 1000
-	if r.failed != "" {
-		res.Void = r.failed
-	} else if r.ref.ForeignRequests > 0 { // guards against what two rigs side by side do to each other: ports that are free again are taken anew
-		res.Void = fmt.Sprintf("%d requests of another rig came", r.ref.ForeignRequests)
-	} else if r.late > lateMost {
-		res.Void = fmt.Sprintf("the rig was %v late", r.late.Round(time.Millisecond))
+	result.MaxLatenessMS = float64(r.maxLateness.Microseconds()) / 1000
+	if r.failure != "" {
+		result.InvalidReason = r.failure
+	} else if r.checker.ForeignRequests > 0 { // a concurrent run has reused a released port
+		result.InvalidReason = fmt.Sprintf("%d requests of another run arrived", r.checker.ForeignRequests)
+	} else if r.maxLateness > latenessLimit {
+		result.InvalidReason = fmt.Sprintf("the harness was %v late", r.maxLateness.Round(time.Millisecond))
 	}
-	res.Seconds = r.seconds
+	result.Seconds = r.seconds
 	served, wanted := 0.0, 0.0
 	for _, s := range r.seconds {
-		served, wanted = served+s.Served, wanted+s.Served+s.Crowded+s.Waiting
+		served, wanted = served+s.Served, wanted+s.Served+s.Overloaded+s.Waiting
 	}
 	if wanted > 0 {
-		res.Served = math.Round(served/wanted*1e4) / 1e4
+		result.Served = math.Round(served/wanted*1e4) / 1e4
 	}
-	seconds := time.Duration(r.s.Length).Seconds()
+	seconds := time.Duration(r.scenario.Length).Seconds()
 	for i := range r.nodes {
-		w, b := r.sent(i)
-		res.Words.All, res.Words.Bytes = res.Words.All+float64(w)/seconds, res.Words.Bytes+float64(b)/seconds
-		res.Words.BusiestWords = max(res.Words.BusiestWords, float64(w)/seconds)
-		res.Words.BusiestBytes = max(res.Words.BusiestBytes, float64(b)/seconds)
-	}
-	for _, line := range slices.Clone(res.History)[:min(len(res.History), 3)] {
+		datagrams, bytes := r.sentBy(i)
+		result.Datagrams.PerSecond, result.Datagrams.BytesPerSecond =
+			result.Datagrams.PerSecond+float64(datagrams)/seconds,
+			result.Datagrams.BytesPerSecond+float64(bytes)/seconds
+		result.Datagrams.MaxPerSecond = max(result.Datagrams.MaxPerSecond, float64(datagrams)/seconds)
+		result.Datagrams.MaxBytesPerSecond = max(result.Datagrams.MaxBytesPerSecond, float64(bytes)/seconds)
+	}
+	// Adds the log excerpts of the first requests in the history. An ID follows the time, which takes 13 characters.
+	for _, line := range slices.Clone(result.History)[:min(len(result.History), 3)] {
 		id, _, _ := strings.Cut(strings.TrimSpace(line[min(13, len(line)):]), ",")
-		for _, p := range r.logs {
-			if text := p.LogExcerpt(id); strings.Contains(text, id) {
-				res.History = append(res.History, text)
+		for _, p := range r.processes {
+			if excerpt := p.LogExcerpt(id); strings.Contains(excerpt, id) {
+				result.History = append(result.History, excerpt)
 			}
 		}
 	}
-	return res
+	return result
 }
 
-// sent gives the words and bytes that a process sent to others.
-func (r *rig) sent(i int) (words, bytes int64) {
-	if r.s.Control == 0 {
-		return r.words.SentBy(i)
+// sentBy returns the datagrams and bytes that a process has sent to the others.
+func (r *run) sentBy(index int) (datagrams, bytes int64) {
+	if r.scenario.ControlMachines == 0 {
+		return r.peerNetwork.SentBy(index)
 	}
-	words, bytes = r.below.SentBy(i)
-	if i >= r.s.Nodes {
-		w, b := r.words.SentBy(i - r.s.Nodes)
-		words, bytes = words+w, bytes+b
+	datagrams, bytes = r.childNetwork.SentBy(index)
+	if index >= r.scenario.Nodes {
+		peerDatagrams, peerBytes := r.peerNetwork.SentBy(index - r.scenario.Nodes)
+		datagrams, bytes = datagrams+peerDatagrams, bytes+peerBytes
 	}
-	return words, bytes
+	return datagrams, bytes
 }
 
-// Names gives the totals in order.
-func (r *Result) Names() []string { return slices.Sorted(maps.Keys(r.Totals)) }
+// TotalNames returns the sorted names of the totals.
+func (r *Result) TotalNames() []string { return slices.Sorted(maps.Keys(r.Totals)) }
--- a/lab/rig/rig.go
+++ b/lab/rig/rig.go
@@ -14,135 +14,145 @@
 	"brassmux/lab/shim"
 )
 
-// Options say how a scenario is played.
+// Options are the options of Run.
 type Options struct {
 	Seed   uint64
-	Binary string // of the program; "" for the one that runs
+	Binary string // path of the program; "" for this executable
 }
 
-// lateMost is how late the rig may be before its run says nothing: the checker has as much slack.
-const lateMost = 100 * time.Millisecond
+// latenessLimit is the lateness of the harness beyond which a run is invalid. It equals the slack of the checker.
+const latenessLimit = 100 * time.Millisecond
 
-var modes = map[string]emulator.Mode{"drop": emulator.Drop, "stall": emulator.Stall, "reset": emulator.Reset, "cut": emulator.Cut}
+// linkModes are the modes of a link that impair it, by their names in a scenario.
+var linkModes = map[string]emulator.Mode{"drop": emulator.Drop, "stall": emulator.Stall, "reset": emulator.Reset,
+	"cut": emulator.Cut}
 
-type rig struct {
-	s       *Scenario
-	o       Options
-	starter *process.Starter
-	library *shim.Library // nil where no process runs under a shim
-	list    *emulator.ListService
-	other   string                    // another address of the list service
-	words   *emulator.DatagramNetwork // among the nodes, or among the control machines
-	below   *emulator.DatagramNetwork // nodes and control machines, by process number; nil without control machines
-	ref     *checker.Checker
-	begun   time.Time
-	over    chan struct{} // closed when the day is
-	links   map[linkKey]*emulator.Direction
-	work    sync.WaitGroup // clients and events
+// run is one run of a scenario.
+type run struct {
+	scenario          *Scenario
+	options           Options
+	starter           *process.Starter
+	shimLibrary       *shim.Library // nil without shims
+	listService       *emulator.ListService
+	alternateListAddr string                    // second address of the list service
+	peerNetwork       *emulator.DatagramNetwork // between the nodes, or between the control machines
+	childNetwork      *emulator.DatagramNetwork // between nodes and control machines; nil without control machines
+	checker           *checker.Checker
+	startedAt         time.Time
+	ended             chan struct{} // closed at the end of the run
+	links             map[linkKey]*emulator.Direction
+	tasks             sync.WaitGroup // clients and events
 
-	mu       sync.Mutex
-	rng      *rand.Rand
-	nodes    []*node
-	servers  []*emulator.Server // all that there were
-	named    int                // of them
-	clients  []*client
-	totals   map[string]int
-	effects  []int
-	failed   string
-	late     time.Duration
-	seconds  []Second
-	waits    []time.Duration         // of starts, for the list
-	backs    []time.Duration         // of nodes, for the list service that is back
-	listUp   time.Time               // since when the list service can be reached; the zero time while it is down
-	ready    map[int][]time.Duration // by event, of starts
-	unready  map[int]int             // by event: starts that never were
-	starting int                     // processes that are on their way to be ready
-	peaks    map[string][]time.Time  // what is counted by the second
-	sum      map[string]float64
-	logs     []*process.Process
+	mu             sync.Mutex
+	rng            *rand.Rand
+	nodes          []*node
+	servers        []*emulator.Server // including those that have stopped
+	serverCount    int                // the number in the latest server ID
+	clients        []*client
+	totals         map[string]int
+	effects        []int
+	failure        string
+	maxLateness    time.Duration
+	seconds        []Second
+	listWaits      []time.Duration         // from the start of a process to its first notification
+	recoveryWaits  []time.Duration         // from the end of an outage of the list service to a notification
+	listUpSince    time.Time               // when the list service became reachable; zero while it is down
+	readyDurations map[int][]time.Duration // startup times by event
+	unreadyCounts  map[int]int             // processes that were never ready, by event
+	startingCount  int                     // processes that are started and not yet ready
+	peakTimes      map[string][]time.Time  // times at which something happened, by its name
+	counters       map[string]float64
+	processes      []*process.Process
 }
 
+// linkKey identifies one direction of all links of a kind at a node.
 type linkKey struct {
-	kind string
-	node int
-	to   bool // the node
+	kind   string
+	node   int
+	toNode bool
 }
 
-// Run plays a scenario.
-func Run(s *Scenario, o Options) (*Result, error) {
-	if o.Binary == "" {
-		self, err := os.Executable()
+// Run runs a scenario and returns its result. A run that proves nothing is not an error, but sets Result.InvalidReason.
+func Run(scenario *Scenario, options Options) (*Result, error) {
+	if options.Binary == "" {
+		executable, err := os.Executable()
 		if err != nil {
 			return nil, err
 		}
-		o.Binary = self
+		options.Binary = executable
 	}
-	if err := process.RaiseDescriptorLimit((s.Nodes+s.Control)*(8+s.Servers) + 4*s.Clients.Standing + 500); err != nil {
+	if err := process.RaiseDescriptorLimit((scenario.Nodes+scenario.ControlMachines)*(8+scenario.Servers) +
+		4*scenario.Clients.Initial + 500); err != nil {
 		return nil, err
 	}
-	r := &rig{s: s, o: o, starter: process.NewStarter(), over: make(chan struct{}), links: map[linkKey]*emulator.Direction{},
-		ready: map[int][]time.Duration{}, unready: map[int]int{},
-		rng: rand.New(rand.NewPCG(o.Seed, 1)), totals: map[string]int{}, peaks: map[string][]time.Time{}, effects: make([]int, len(s.Events)), sum: map[string]float64{}}
+	r := &run{scenario: scenario, options: options, starter: process.NewStarter(), ended: make(chan struct{}),
+		links: map[linkKey]*emulator.Direction{}, readyDurations: map[int][]time.Duration{},
+		unreadyCounts: map[int]int{}, rng: rand.New(rand.NewPCG(options.Seed, 1)), totals: map[string]int{},
+		peakTimes: map[string][]time.Time{}, effects: make([]int, len(scenario.Events)),
+		counters: map[string]float64{}}
 	defer r.starter.Close()
-	if s.Shim {
-		library, err := shim.Build()
+	if scenario.UseShim {
+		shimLibrary, err := shim.Build()
 		if err != nil {
 			return nil, err
 		}
-		defer library.Remove()
-		r.library = library
+		defer shimLibrary.Remove()
+		r.shimLibrary = shimLibrary
 	}
-	v := s.Server
-	connections := r.connections()
-	r.ref = checker.New(checker.Config{
-		AnswerGrace: 70 * time.Millisecond, DrainGrace: time.Duration(v.Grace), Slack: 100 * time.Millisecond,
-		DepartureGrace: 100 * time.Millisecond, IdempotencyWindow: keyedWindow, ReadyTimeout: readyWithin,
-		RateLimits: s.Budgets.rates(), OverloadWindow: time.Duration(v.FallWindow),
-		SlowStartWindow: time.Duration(v.ColdFor),
-		SlowStartLimit: func(age time.Duration) float64 { // by the mean share of the window
-			mean := max(age.Seconds()-time.Duration(v.FallWindow).Seconds()/2, 0) / time.Duration(v.ColdFor).Seconds()
-			share := min(v.ColdFrom+(1-v.ColdFrom)*mean, 1)
-			return v.FallMultiple * time.Duration(v.FallWindow).Seconds() * share * connections /
-				(float64(s.Servers) * time.Duration(v.ColdFor).Seconds())
+	server := scenario.Server
+	expectedConnections := r.expectedConnections()
+	r.checker = checker.New(checker.Config{
+		AnswerGrace: 70 * time.Millisecond, DrainGrace: time.Duration(server.DrainGrace), Slack: 100 * time.Millisecond,
+		DepartureGrace: 100 * time.Millisecond, IdempotencyWindow: idempotencyWindow, ReadyTimeout: readyTimeout,
+		RateLimits: scenario.Quotas.limits(), OverloadWindow: time.Duration(server.OverloadWindow),
+		SlowStartWindow: time.Duration(server.SlowStartDuration),
+		SlowStartLimit: func(age time.Duration) float64 { // at the mean capacity over the window
+			elapsedFraction := max(age.Seconds()-time.Duration(server.OverloadWindow).Seconds()/2, 0) /
+				time.Duration(server.SlowStartDuration).Seconds()
+			capacityFraction := min(server.SlowStartMinCapacity+(1-server.SlowStartMinCapacity)*elapsedFraction, 1)
+			return server.OverloadFactor * time.Duration(server.OverloadWindow).Seconds() * capacityFraction *
+				expectedConnections / (float64(scenario.Servers) * time.Duration(server.SlowStartDuration).Seconds())
 		},
 	})
 	var err error
-	if s.Control > 0 {
-		if r.below, err = emulator.NewDatagramNetwork(s.Nodes+s.Control, o.Seed^1<<32); err != nil {
+	if scenario.ControlMachines > 0 {
+		if r.childNetwork, err = emulator.NewDatagramNetwork(scenario.Nodes+scenario.ControlMachines,
+			options.Seed^1<<32); err != nil {
 			return nil, err
 		}
-		defer r.below.Close()
+		defer r.childNetwork.Close()
 	}
-	if r.words, err = emulator.NewDatagramNetwork(s.group(), o.Seed); err != nil {
+	if r.peerNetwork, err = emulator.NewDatagramNetwork(scenario.peerCount(), options.Seed); err != nil {
 		return nil, err
 	}
-	defer r.words.Close()
-	r.list = emulator.NewListService(emulator.ListConfig{
-		CallsPerSecond: s.List.PerSecond, QueueTimeout: time.Duration(s.List.Patience),
-		PropagationDelay: time.Duration(s.List.Lag),
-	}, r.told, r.called)
-	defer r.list.Close()
-	if err := r.list.Open(r.ways("list")); err != nil {
+	defer r.peerNetwork.Close()
+	r.listService = emulator.NewListService(emulator.ListConfig{
+		CallsPerSecond:   scenario.ListService.CallsPerSecond,
+		QueueTimeout:     time.Duration(scenario.ListService.CallTimeout),
+		PropagationDelay: time.Duration(scenario.ListService.PropagationDelay),
+	}, r.onNotification, r.onListCall)
+	defer r.listService.Close()
+	if err := r.listService.Open(r.nodeLinks("list")); err != nil {
 		return nil, err
 	}
-	if r.other, err = r.list.OpenAddress(r.ways("list")); err != nil {
+	if r.alternateListAddr, err = r.listService.OpenAddress(r.nodeLinks("list")); err != nil {
 		return nil, err
 	}
 	defer r.stopServers()
-	for range s.Servers {
+	for range scenario.Servers {
 		if err := r.newServer(time.Time{}); err != nil {
 			return nil, err
 		}
 	}
 	// Servers are listed after the propagation delay.
-	for version := int64(0); version < int64(s.Servers); version, _ = r.list.Snapshot(0) {
+	for version := int64(0); version < int64(scenario.Servers); version, _ = r.listService.Snapshot(0) {
 		time.Sleep(5 * time.Millisecond)
 	}
 	defer r.killAll()
-	var ready sync.WaitGroup
-	for i := range s.Nodes + s.Control {
+	var starts sync.WaitGroup
+	for i := range scenario.Nodes + scenario.ControlMachines {
 		n := &node{index: i}
-		if r.nodes = append(r.nodes, n); s.Inherit {
+		if r.nodes = append(r.nodes, n); scenario.InheritSocket {
 			defer n.close()
 			if err := n.listen(); err != nil {
 				return nil, err
@@ -150,142 +160,152 @@
 		}
 	}
 	for _, n := range r.nodes {
-		ready.Go(func() { r.startNode(dayStart, n, 0, false) })
+		starts.Go(func() { r.startNode(runStart, n, 0, false) })
 	}
-	ready.Wait()
-	r.begun = time.Now()
+	starts.Wait()
+	r.startedAt = time.Now()
 	r.mu.Lock()
-	r.listUp = r.begun
+	r.listUpSince = r.startedAt
 	r.mu.Unlock()
-	go r.watchClock()
-	go r.measure()
-	r.work.Go(r.arrivals)
-	r.work.Go(r.odds)
-	for i, e := range s.Events {
-		r.work.Go(func() {
-			if r.sleep(time.Until(r.begun.Add(time.Duration(e.At)))) {
-				r.trouble(i, e)
+	go r.measureLateness()
+	go r.sampleClients()
+	r.tasks.Go(r.startClients)
+	r.tasks.Go(r.startMisbehavingClients)
+	for i, event := range scenario.Events {
+		r.tasks.Go(func() {
+			if r.sleep(time.Until(r.startedAt.Add(time.Duration(event.At)))) {
+				r.inject(i, event)
 			}
 		})
 	}
-	time.Sleep(time.Until(r.begun.Add(time.Duration(s.Length))))
-	r.allReady()
-	close(r.over)
+	time.Sleep(time.Until(r.startedAt.Add(time.Duration(scenario.Length))))
+	r.awaitAllReady()
+	close(r.ended)
 	done := make(chan struct{})
-	go func() { r.work.Wait(); close(done) }()
+	go func() { r.tasks.Wait(); close(done) }()
 	select {
 	case <-done:
-	case <-time.After(20 * time.Second): // guards against a rig that never ends
+	case <-time.After(20 * time.Second): // bounds the run if a task hangs
 		r.fail("clients or events did not end within 20 s")
 	}
-	return r.finish(), nil
+	return r.collectResult(), nil
 }
 
-// connections are those that all servers are to bear.
-func (r *rig) connections() float64 { return 0.85 * float64(r.s.Server.Holds*r.s.Servers) }
+// expectedConnections returns the connections for which the servers are provisioned: 85% of their capacity.
+func (r *run) expectedConnections() float64 {
+	return 0.85 * float64(r.scenario.Server.Capacity*r.scenario.Servers)
+}
 
-// way is one direction of a node's links of a kind.
-func (r *rig) way(kind string, node int, to bool) *emulator.Direction {
+// direction returns one direction of a node's links of a kind, shared by all of them.
+func (r *run) direction(kind string, node int, toNode bool) *emulator.Direction {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	k := linkKey{kind, node, to}
-	if r.links[k] == nil {
-		r.links[k] = &emulator.Direction{}
+	key := linkKey{kind, node, toNode}
+	if r.links[key] == nil {
+		r.links[key] = &emulator.Direction{}
 	}
-	return r.links[k]
+	return r.links[key]
 }
 
-// ways are both directions of any node's links of a kind, by what the nodes say and hear there.
-func (r *rig) ways(kind string) emulator.Links {
-	return func(node int) (in, out *emulator.Direction) { return r.way(kind, node, false), r.way(kind, node, true) }
+// nodeLinks returns, for links of a kind, the function that returns both directions of a node's link: from the node and
+// to it.
+func (r *run) nodeLinks(kind string) emulator.Links {
+	return func(node int) (in, out *emulator.Direction) {
+		return r.direction(kind, node, false), r.direction(kind, node, true)
+	}
 }
 
-func (r *rig) count(what string) {
+// count adds one to a total.
+func (r *run) count(name string) {
 	r.mu.Lock()
-	r.totals[what]++
+	r.totals[name]++
 	r.mu.Unlock()
 }
 
-// peak notes something of which the most in any second is wanted; of what has a second word the most at any one of those.
-func (r *rig) peak(what string, at time.Time) {
+// recordPeak records an occurrence of something of which Result.Peaks has the maximum in any second. A name that ends
+// with a space and a server ID is counted by server.
+func (r *run) recordPeak(name string, at time.Time) {
 	r.mu.Lock()
-	r.peaks[what] = append(r.peaks[what], at)
+	r.peakTimes[name] = append(r.peakTimes[name], at)
 	r.mu.Unlock()
 }
 
-func (r *rig) fail(format string, args ...any) {
+// fail makes the run invalid. The first reason is kept.
+func (r *run) fail(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.failed == "" {
-		r.failed = fmt.Sprintf(format, args...)
+	if r.failure == "" {
+		r.failure = fmt.Sprintf(format, args...)
 	}
 }
 
-// sleep waits, and tells whether the day still goes on.
-func (r *rig) sleep(d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
+// sleep waits for d or until the run ends, and reports whether the run goes on.
+func (r *run) sleep(duration time.Duration) bool {
+	timer := time.NewTimer(duration)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return true
-	case <-r.over:
+	case <-r.ended:
 		return false
 	}
 }
 
-func (r *rig) draw(n int) int {
+// randomIndex returns a random number from 0 to n-1.
+func (r *run) randomIndex(n int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rng.IntN(n)
 }
 
-func (r *rig) between(a, b Dur) time.Duration {
+// randomDuration returns a random duration between low and high.
+func (r *run) randomDuration(low, high Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return time.Duration(a) + time.Duration(r.rng.Float64()*float64(b-a))
+	return time.Duration(low) + time.Duration(r.rng.Float64()*float64(high-low))
 }
 
-// The list service and the servers.
-
-func (r *rig) newServer(started time.Time) error {
-	kind := emulator.ServerConfig{
-		Capacity: r.s.Server.Holds, SlowStartMinCapacity: r.s.Server.ColdFrom,
-		SlowStartWindow: time.Duration(r.s.Server.ColdFor),
+// newServer starts a server and adds it to the list. Started is when it started, zero for long ago.
+func (r *run) newServer(started time.Time) error {
+	config := emulator.ServerConfig{
+		Capacity: r.scenario.Server.Capacity, SlowStartMinCapacity: r.scenario.Server.SlowStartMinCapacity,
+		SlowStartWindow: time.Duration(r.scenario.Server.SlowStartDuration),
 	}
 	r.mu.Lock()
-	r.named++ // two may start at once
-	id := fmt.Sprintf("s-%d", r.named)
+	r.serverCount++ // under the lock, as servers may start concurrently
+	id := fmt.Sprintf("s-%d", r.serverCount)
 	r.mu.Unlock()
-	s := emulator.NewServer(id, kind, started, r.received)
-	if err := s.Open(r.ways("servers")); err != nil {
+	server := emulator.NewServer(id, config, started, r.onServerEvent)
+	if err := server.Open(r.nodeLinks("servers")); err != nil {
 		return err
 	}
 	r.mu.Lock()
-	r.servers = append(r.servers, s)
+	r.servers = append(r.servers, server)
 	r.mu.Unlock()
-	r.list.UpdateServer(s, "up")
+	r.listService.UpdateServer(server, "up")
 	return nil
 }
 
-// leave makes known that a server drains or is gone. Where it is to count as told whether or not it reaches a node, it does
-// so for all nodes once the service has had it and could be reached for as long.
-func (r *rig) leave(s *emulator.Server, state string) {
-	r.list.UpdateServer(s, state)
-	told := time.Duration(r.s.List.Told)
-	if told == 0 {
+// reportLeaving adds to the list that a server drains or is removed. With a NotificationGrace it then reports the
+// server to the checker as leaving, for all nodes, once the service has had the change and been reachable for that
+// time.
+func (r *run) reportLeaving(server *emulator.Server, state string) {
+	r.listService.UpdateServer(server, state)
+	grace := time.Duration(r.scenario.ListService.NotificationGrace)
+	if grace == 0 {
 		return
 	}
-	known := time.Now().Add(time.Duration(r.s.List.Lag))
-	r.work.Go(func() {
+	listedAt := time.Now().Add(time.Duration(r.scenario.ListService.PropagationDelay))
+	r.tasks.Go(func() {
 		for {
 			r.mu.Lock()
-			up := r.listUp
+			upSince := r.listUpSince
 			r.mu.Unlock()
-			from := known
-			if up.After(from) {
-				from = up
+			since := listedAt
+			if upSince.After(since) {
+				since = upSince
 			}
-			if wait := time.Until(from.Add(told)); up.IsZero() {
+			if wait := time.Until(since.Add(grace)); upSince.IsZero() {
 				if !r.sleep(10 * time.Millisecond) {
 					return
 				}
@@ -295,7 +315,7 @@
 				}
 			} else {
 				for _, n := range r.nodes {
-					r.ref.EndpointReported(n.index, s.ID, true, time.Time{}, from.Add(told))
+					r.checker.EndpointReported(n.index, server.ID, true, time.Time{}, since.Add(grace))
 				}
 				return
 			}
@@ -303,125 +323,130 @@
 	})
 }
 
-// listDown has the list service go down, or come back.
-func (r *rig) listDown(down bool) {
-	r.list.SetDown(down)
+// setListDown makes the list service unreachable, or ends that.
+func (r *run) setListDown(down bool) {
+	r.listService.SetDown(down)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.listUp = time.Now(); down {
-		r.listUp = time.Time{}
+	if r.listUpSince = time.Now(); down {
+		r.listUpSince = time.Time{}
 		return
 	}
 	for _, n := range r.nodes {
-		n.back = r.listUp
+		n.recoveryPendingSince = r.listUpSince
 	}
 }
 
-func (r *rig) stopServers() {
+// stopServers stops all servers.
+func (r *run) stopServers() {
 	for _, s := range r.servers {
 		s.Stop()
 	}
 }
 
-func (r *rig) told(t emulator.Notification) {
+// onNotification records a notification by the list service.
+func (r *run) onNotification(notification emulator.Notification) {
 	r.mu.Lock()
-	if n := r.nodes[t.Node]; !n.began.IsZero() {
-		r.waits = append(r.waits, t.At.Sub(n.began))
-		n.began = time.Time{}
+	if n := r.nodes[notification.Node]; !n.listPendingSince.IsZero() {
+		r.listWaits = append(r.listWaits, notification.At.Sub(n.listPendingSince))
+		n.listPendingSince = time.Time{}
 	}
-	if n := r.nodes[t.Node]; !n.back.IsZero() {
-		r.backs = append(r.backs, t.At.Sub(n.back))
-		n.back = time.Time{}
+	if n := r.nodes[notification.Node]; !n.recoveryPendingSince.IsZero() {
+		r.recoveryWaits = append(r.recoveryWaits, notification.At.Sub(n.recoveryPendingSince))
+		n.recoveryPendingSince = time.Time{}
 	}
 	r.mu.Unlock()
-	for _, e := range t.Endpoints {
+	for _, endpoint := range notification.Endpoints {
 		started := time.Time{}
-		if e.Started > 0 {
-			started = time.UnixMilli(e.Started)
+		if endpoint.Started > 0 {
+			started = time.UnixMilli(endpoint.Started)
 		}
-		r.ref.EndpointReported(t.Node, e.ID, e.State != "up", started, t.At)
+		r.checker.EndpointReported(notification.Node, endpoint.ID, endpoint.State != "up", started, notification.At)
 	}
 }
 
-func (r *rig) called(c emulator.Call) {
+// onListCall records a call of the list service.
+func (r *run) onListCall(call emulator.Call) {
 	r.count("list calls")
-	r.peak("list calls", c.At)
-	r.ref.RateLimitedEvent("list_calls_per_s", "", c.At, c.At)
-	if c.Failed {
+	r.recordPeak("list calls", call.At)
+	r.checker.RateLimitedEvent("list_calls_per_s", "", call.At, call.At)
+	if call.Failed {
 		r.count("list calls failed")
 	}
 }
 
-func (r *rig) received(x emulator.Event) {
-	switch x.Kind {
+// onServerEvent records an event at a server.
+func (r *run) onServerEvent(event emulator.Event) {
+	switch event.Kind {
 	case emulator.AttemptReceived:
 		r.count("attempts")
-		r.ref.RateLimitedEvent("connects_per_s", x.Server.ID, x.ArrivedAt, x.ArrivedAt)
-		r.ref.AttemptReceived(x.Node, x.Server.ID, x.Request, x.ArrivedAt, x.Server.Started)
-		if !x.Server.Started.IsZero() {
+		r.checker.RateLimitedEvent("connects_per_s", event.Server.ID, event.ArrivedAt, event.ArrivedAt)
+		r.checker.AttemptReceived(event.Node, event.Server.ID, event.Request, event.ArrivedAt, event.Server.Started)
+		if !event.Server.Started.IsZero() {
 			r.count("attempts at servers that started")
 		}
 	case emulator.AttemptRejected:
-		r.ref.AttemptRejected(x.Server.ID, x.Request)
+		r.checker.AttemptRejected(event.Server.ID, event.Request)
 	case emulator.AttemptEnded:
-		r.ref.AttemptEnded(x.Server.ID, x.Request)
+		r.checker.AttemptEnded(event.Server.ID, event.Request)
 	case emulator.HealthChecked:
 		r.count("probes")
-		r.peak("probes "+x.Server.ID, x.At)
-		r.ref.RateLimitedEvent("probes_per_s", x.Server.ID, x.ArrivedAt, x.ArrivedAt)
+		r.recordPeak("probes "+event.Server.ID, event.At)
+		r.checker.RateLimitedEvent("probes_per_s", event.Server.ID, event.ArrivedAt, event.ArrivedAt)
 	case emulator.ConnectionAccepted:
 		r.count("connections at servers")
-		r.peak("connections "+x.Server.ID, x.At)
+		r.recordPeak("connections "+event.Server.ID, event.At)
 	}
 }
 
-// watchClock notes how late the rig itself is.
-func (r *rig) watchClock() {
-	const every = 20 * time.Millisecond
+// measureLateness records by how much the harness itself wakes up late.
+func (r *run) measureLateness() {
+	const interval = 20 * time.Millisecond
 	for {
-		begun := time.Now()
-		if !r.sleep(every) {
+		startedAt := time.Now()
+		if !r.sleep(interval) {
 			return
 		}
 		r.mu.Lock()
-		r.late = max(r.late, time.Since(begun)-every)
+		r.maxLateness = max(r.maxLateness, time.Since(startedAt)-interval)
 		r.mu.Unlock()
 	}
 }
 
-// measure looks ten times a second where the clients are, and which servers are asked for more than they can do.
-func (r *rig) measure() {
-	const looks = 10
-	for r.sleep(time.Second / looks) {
-		loads := map[string]float64{}
+// sampleClients samples ten times a second which clients are connected, and which servers are overloaded.
+func (r *run) sampleClients() {
+	const samplesPerSecond = 10
+	for r.sleep(time.Second / samplesPerSecond) {
+		utilization := map[string]float64{}
 		r.mu.Lock()
-		all, servers := slices.Clone(r.clients), slices.Clone(r.servers)
+		clients, servers := slices.Clone(r.clients), slices.Clone(r.servers)
 		r.mu.Unlock()
 		for _, s := range servers {
 			if !s.Leaving() {
-				loads[s.ID] = s.Utilization()
+				utilization[s.ID] = s.Utilization()
 			}
 		}
-		var now Second
-		for _, c := range all {
-			switch stands, wants := c.state(); {
-			case !wants:
-			case !stands:
-				now.Waiting += 1.0 / looks
-			case loads[r.ref.LastServer(c.request())] <= 1:
-				now.Served += 1.0 / looks
+		var sample Second
+		for _, c := range clients {
+			switch connected, wanted := c.state(); {
+			case !wanted:
+			case !connected:
+				sample.Waiting += 1.0 / samplesPerSecond
+			case utilization[r.checker.LastServer(c.lastRequest())] <= 1:
+				sample.Served += 1.0 / samplesPerSecond
 			default:
-				now.Crowded += 1.0 / looks
+				sample.Overloaded += 1.0 / samplesPerSecond
 			}
 		}
 		r.mu.Lock()
-		at := int(time.Since(r.begun) / time.Second)
-		for len(r.seconds) <= at {
+		second := int(time.Since(r.startedAt) / time.Second)
+		for len(r.seconds) <= second {
 			r.seconds = append(r.seconds, Second{})
 		}
-		s := &r.seconds[at]
-		s.Served, s.Crowded, s.Waiting, s.Loads = s.Served+now.Served, s.Crowded+now.Crowded, s.Waiting+now.Waiting, loads
-		r.clients = slices.DeleteFunc(r.clients, func(c *client) bool { return c.done() })
+		total := &r.seconds[second]
+		total.Served, total.Overloaded, total.Waiting, total.Utilization = total.Served+sample.Served,
+			total.Overloaded+sample.Overloaded, total.Waiting+sample.Waiting, utilization
+		r.clients = slices.DeleteFunc(r.clients, func(c *client) bool { return c.isFinished() })
 		r.mu.Unlock()
 	}
 }
