--- a/cmd/brassmux/internal/cli/soak.go
+++ b/cmd/brassmux/internal/cli/soak.go
@@ -139,7 +139,8 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(stdout, "  rules broken: %+v (%s)\n  %s\n", result.Violations, path, strings.Join(result.History, "\n  "))
+	fmt.Fprintf(stdout, "  rules broken: %+v (%s)\n  %s\n", result.Violations, path,
+		strings.Join(result.History, "\n  "))
 	return nil
 }
 
