--- a/lab/scale/scale.go
+++ b/lab/scale/scale.go
@@ -712,16 +712,16 @@
 
 // describeLeaders returns a summary of the number of nodes by leader.
 func describeLeaders(nodesByLeader map[int]int) string {
-	leaders, mostFollowed, followers := 0, -1, 0
+	leaders, mainLeader, followers := 0, -1, 0
 	for _, leader := range slices.Sorted(maps.Keys(nodesByLeader)) {
 		if nodes := nodesByLeader[leader]; leader >= 0 {
 			if leaders++; nodes > followers {
-				mostFollowed, followers = leader, nodes
+				mainLeader, followers = leader, nodes
 			}
 		}
 	}
 	return fmt.Sprintf("%d nodes ask nobody, the others %d keepers, most (%d) number %d",
-		nodesByLeader[-1], leaders, followers, mostFollowed)
+		nodesByLeader[-1], leaders, followers, mainLeader)
 }
 
 // settle waits until all nodes have applied the list and follow a leader, and until the effects of the start are over.
