--- a/node/dialgate_test.go
+++ b/node/dialgate_test.go
@@ -11,10 +11,10 @@
 // of an attempt.
 type dialGate struct {
 	connected chan string   // addresses of the connections that are held back
-	release   chan struct{} // releases one connection
+	release   chan struct{} // releases one connection; unbuffered, so that only a held connection takes it
 }
 
-func newDialGate() *dialGate { return &dialGate{make(chan string, 100), make(chan struct{}, 100)} }
+func newDialGate() *dialGate { return &dialGate{make(chan string, 100), make(chan struct{})} }
 
 // dial connects to a server and returns the connection once it is released.
 func (gate *dialGate) dial(_ context.Context, addr string) (net.Conn, error) {
