--- a/budget/follower_test.go
+++ b/budget/follower_test.go
@@ -148,8 +148,8 @@
 	}
 }
 
-// Two processes with the same index that start together must not both use the reservation either. Until one of them
-// delegates, the leader replaces its record of the index at each request of the other, and reports no duplicate.
+// Two processes with the same index that start together must not both use the reservation either. Neither of them
+// delegates at first, so the leader cannot detect the duplicate by a delegation in force.
 func TestDuplicateIndexStartedTogether(t *testing.T) {
 	sim := newTreeSimulation(3, treeSize{1, 4, 1, 0.5, 8}, 0,
 		&Rule{Limit: 8, Window: 2 * time.Second, NoDelegation: true})
--- a/budget/leader.go
+++ b/budget/leader.go
@@ -27,9 +27,11 @@
 // followerRecord holds the leader's information about a member.
 type followerRecord struct {
 	incarnation       uint64
-	otherIncarnation  uint64 // latest other incarnation that has sent requests with the same index
-	isDuplicate       bool   // a request of incarnation has arrived after one of otherIncarnation
-	seq               uint64 // Seq of its latest request
+	otherIncarnation  uint64        // latest other incarnation that has sent requests with the same index
+	isDuplicate       bool          // a request of incarnation has arrived after one of otherIncarnation
+	replaced          uint64        // the incarnation that this one has replaced; 0 for none
+	requestedAt       time.Duration // arrival of the latest request of incarnation
+	seq               uint64        // Seq of its latest request
 	delegatedUntil    time.Duration
 	delegated         map[ID]int // units of the listed budgets
 	delegatesUnlisted bool
@@ -73,12 +75,7 @@
 // no response; ok is then false.
 func (l *leader) acceptRequest(from int, request *LeaseRequest) (response LeaseResponse, isCurrent, ok bool) {
 	l.expire()
-	record := l.followers[from]
-	if record == nil || record.incarnation != request.Incarnation && l.now >= record.delegatedUntil {
-		record = &followerRecord{incarnation: request.Incarnation}
-		l.followers[from] = record
-	}
-	isDuplicate := record.detectDuplicate(request)
+	record, isDuplicate := l.recordOf(from, request)
 	isCurrent = record.incarnation == request.Incarnation
 	if isCurrent && request.Seq <= record.seq { // a later request has replaced its content
 		return response, true, false
@@ -95,6 +92,28 @@
 		Follower: request.Incarnation, DuplicateIndex: isDuplicate}, isCurrent, true
 }
 
+// recordOf returns the record of a request's sender, and whether the request is from a second process with the same
+// index. A record without delegations in force is replaced when another incarnation sends a request, since the recorded
+// one may have crashed. A request of an incarnation that was replaced comes from a process that runs beside its
+// successor, provided that the successor has sent a request within the heartbeat timeout.
+func (l *leader) recordOf(from int, request *LeaseRequest) (record *followerRecord, isDuplicate bool) {
+	record = l.followers[from]
+	switch {
+	case record == nil:
+		record = &followerRecord{incarnation: request.Incarnation}
+	case record.incarnation == request.Incarnation || l.now < record.delegatedUntil:
+	case record.replaced == request.Incarnation && l.now < record.requestedAt+l.settings.heartbeatTimeout():
+		return record, true
+	default:
+		record = &followerRecord{incarnation: request.Incarnation, replaced: record.incarnation}
+	}
+	l.followers[from] = record
+	if record.incarnation == request.Incarnation {
+		record.requestedAt = l.now
+	}
+	return record, record.detectDuplicate(request)
+}
+
 // detectDuplicate reports whether a request is from a second process with the same index; both processes would use the
 // node's reservation. An incarnation delegates only after everything of an earlier incarnation has expired, so a
 // delegation from another incarnation while the delegations of the recorded one are in force comes from a duplicate.
--- a/budget/statekey_test.go
+++ b/budget/statekey_test.go
@@ -144,7 +144,8 @@
 		record := l.followers[index]
 		fmt.Fprint(k, "f", index, k.incarnationNumber(record.incarnation), k.seq(record.incarnation, record.seq),
 			offset(record.delegatedUntil), record.delegated[modelID], len(record.delegated), record.delegatesUnlisted,
-			k.incarnationNumber(record.otherIncarnation), record.isDuplicate)
+			k.incarnationNumber(record.otherIncarnation), record.isDuplicate, k.incarnationNumber(record.replaced),
+			max(offset(record.requestedAt+l.settings.heartbeatTimeout()), 0))
 	}
 	byNumber := func(x, y *leaderGrant) int { return int(x.number) - int(y.number) }
 	for _, g := range slices.SortedFunc(slices.Values(l.grants), byNumber) {
